--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -495,7 +495,7 @@
         (values.iter().sum::<f64>() / values.len().max(1) as f64, most)
     };
     let now = world.now;
-    let leases = Task::PARTED.iter().flat_map(|task| (0..plan.parts).map(move |part| (*task, part)));
+    let leases = Task::PARTITIONED.iter().flat_map(|task| (0..plan.parts).map(move |part| (*task, part)));
     let mut report = std::mem::take(&mut world.report);
     // Passing from one to the other takes a moment.
     let held = |lease: &(Task, u16)| {
@@ -503,7 +503,8 @@
         free.is_some_and(|since| since + 2 * plan.term.0 > now)
     };
     report.unheld = leases.filter(|lease| !held(lease)).collect();
-    report.without = world.without as f64 / (now as f64 * f64::from(plan.parts) * Task::PARTED.len() as f64);
+    report.without =
+        world.without as f64 / (now as f64 * f64::from(plan.parts) * Task::PARTITIONED.len() as f64);
     report.datagrams = mean(sent.iter().map(|sent| sent.0).collect());
     report.bytes = mean(sent.iter().map(|sent| sent.1).collect());
     report.known =
--- a/src/chain/mod.rs
+++ b/src/chain/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod estimate;
 
-use crate::interface::{Duration, FunctionId, KEY_MARGIN, Timestamp};
+use crate::interface::{DEDUP_WINDOW_MARGIN, Duration, FunctionId, Timestamp};
 use crate::request::{Answer, IncomingRequest, Owner, Verdict};
 use estimate::{Ahead, Estimates, Need};
 use std::collections::{BTreeMap, VecDeque};
@@ -261,7 +261,7 @@
             // What went out in another try of the chain counts from then.
             let window = classes.class(&step.class).and_then(|(_, window)| window);
             let first = key.as_ref().and_then(|key| self.out.get(key)).copied();
-            let until = first.and_then(|first| Some(first + window? - KEY_MARGIN));
+            let until = first.and_then(|first| Some(first + window? - DEDUP_WINDOW_MARGIN));
             let needs = needs(&self.estimates, now, &chain.steps[at..], classes);
             let cold: Vec<Do> = chain.steps[at..]
                 .iter()
--- a/src/chain/tests.rs
+++ b/src/chain/tests.rs
@@ -249,7 +249,7 @@
                         prop_assert!((open.chain.deadline - now).0 >= need, "not covered");
                         if step.class == "credit" {
                             let first = *first_out.entry(step.key.clone().unwrap()).or_insert(now);
-                            prop_assert!(now < first + Duration::millis(6_000) - KEY_MARGIN, "beyond its key");
+                            prop_assert!(now < first + Duration::millis(6_000) - DEDUP_WINDOW_MARGIN, "beyond its key");
                         }
                         running.push(step);
                     }
--- a/src/client.rs
+++ b/src/client.rs
@@ -160,8 +160,8 @@
     /// report the list counts for as long as nobody changes it.
     pub fn list_confirmed(&mut self) {
         let now = self.reactor.now();
-        self.core.follow_list(now, true, BTreeSet::new());
-        self.core.discovery_heard(now, now);
+        self.core.set_list_source(now, true, BTreeSet::new());
+        self.core.discovery_received(now, now);
         self.carry_out();
     }
 
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -85,7 +85,7 @@
     pub(super) fn check_alone(&self, publishes: bool) -> Result<(), FleetError> {
         self.check_electors()?;
         self.check_times()?;
-        if self.parts == 0 && !publishes || self.parts > Shares::PARTS {
+        if self.parts == 0 && !publishes || self.parts > Shares::MAX_PARTS {
             return Err(FleetError::Parts);
         }
         Ok(())
@@ -204,7 +204,7 @@
                 write!(f, "fleet.longest_ms is not between term_ms and {}", TERM_MS.end())
             }
             FleetError::Drift => write!(f, "fleet.drift_ppm is over {MAX_DRIFT_PPM}"),
-            FleetError::Parts => write!(f, "fleet.parts is not between 1 and {}", Shares::PARTS),
+            FleetError::Parts => write!(f, "fleet.parts is not between 1 and {}", Shares::MAX_PARTS),
             FleetError::NoPeers => f.write_str("fleet is refused, for bounds.peers of the settings is false"),
             FleetError::NotElector { index } => write!(
                 f,
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -38,7 +38,7 @@
             return self.answer(incoming.owner, Some(&incoming.class), Verdict::Failed, false);
         }
         if let Some(reason) = self.reject_reason(now, &incoming) {
-            return self.reject(&incoming, reason, self.advice());
+            return self.reject(&incoming, reason, self.default_cooldown());
         }
         if let Some(cooldown) = self.sheds(now, class, incoming.owner) {
             return self.reject(&incoming, RejectReason::Shed, cooldown);
@@ -49,7 +49,7 @@
     /// A class that only a former configuration had is rejected: nothing has run. One that none had fails.
     fn answer_unknown_class(&mut self, incoming: &IncomingRequest) {
         if self.counters.classes.contains_key(&incoming.class) {
-            self.reject(incoming, RejectReason::Class, self.advice());
+            self.reject(incoming, RejectReason::Class, self.default_cooldown());
         } else {
             self.answer(incoming.owner, None, Verdict::Failed, false);
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -250,7 +250,7 @@
     }
 
     /// The cooldown that a client gets where the policy gives none.
-    pub fn advice(&self) -> Duration {
+    pub fn default_cooldown(&self) -> Duration {
         self.site.cooldown()
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -92,7 +92,7 @@
     let text = SITE.replace(r#""mayCancel": true"#, r#""mayCancel": true, "probes": true"#);
     let mut core = Core::new(site(&text), 7);
     let member = |n| Member { worker: WorkerId(n), weight: 1.0, ..Member::default() };
-    core.follow_list(MS(0), true, BTreeSet::new());
+    core.set_list_source(MS(0), true, BTreeSet::new());
     core.members(MS(0), ListKind::Full, vec![member(1), member(2)]);
     core
 }
@@ -101,14 +101,14 @@
 #[test]
 fn what_queued_is_held_back_once_the_list_may_be_out_of_date() {
     let mut core = following_core();
-    core.discovery_heard(MS(0), MS(0));
+    core.discovery_received(MS(0), MS(0));
     let (attempt, _) = sent(&call(&mut core, 1, "safe"));
     let load = load(&mut core, MS(0));
     // Valid for 1.25 s and 0.8 of a grace of 2 s.
     assert!(core.may_write(MS(2850), attempt) && core.load_still_allowed(MS(2850), load));
     assert!(!core.may_write(MS(2851), attempt) && !core.load_still_allowed(MS(2851), load));
     assert!(!core.may_write_load(MS(2851), load));
-    core.discovery_heard(MS(2900), MS(2900));
+    core.discovery_received(MS(2900), MS(2900));
     assert!(core.may_write(MS(2900), attempt) && core.may_write_load(MS(2900), load));
 }
 
@@ -459,19 +459,19 @@
         assert_eq!(core.may_write_load(MS(ms), load), may);
         may
     };
-    for task in Task::PARTED {
+    for task in Task::PARTITIONED {
         core.set_lease(MS(0), task, 1, grant(5, 1_000));
         core.set_lease(MS(0), task, 0, grant(9, 9_000));
     }
     let decided = decide(&mut core);
     assert!(may(&mut core, 900, decided));
     assert!(!may(&mut core, 1_000 - LEASE_MARGIN.0 / 1_000_000, decided), "too close to its end");
-    Task::PARTED.iter().for_each(|task| core.set_lease(MS(10), *task, 1, grant(5, 2_000)));
+    Task::PARTITIONED.iter().for_each(|task| core.set_lease(MS(10), *task, 1, grant(5, 2_000)));
     assert!(may(&mut core, 1_500, decided), "renewed");
-    Task::PARTED.iter().for_each(|task| core.set_lease(MS(20), *task, 1, None));
+    Task::PARTITIONED.iter().for_each(|task| core.set_lease(MS(20), *task, 1, None));
     assert!(!may(&mut core, 30, decided), "given back");
     let homeless = decide(&mut core);
-    Task::PARTED.iter().for_each(|task| core.set_lease(MS(40), *task, 1, grant(6, 3_000)));
+    Task::PARTITIONED.iter().for_each(|task| core.set_lease(MS(40), *task, 1, grant(6, 3_000)));
     assert!(!may(&mut core, 50, decided), "won again, under another fence");
     assert!(!may(&mut core, 50, homeless), "decided while nothing was held");
     let again = decide(&mut core);
--- a/src/core/worker_updates.rs
+++ b/src/core/worker_updates.rs
@@ -23,29 +23,29 @@
 
     /// Discovery was heard, whatever it said: it had told all that it knew by then. What was read may have lain unread
     /// since `at`.
-    pub fn discovery_heard(&mut self, now: Timestamp, at: Timestamp) {
+    pub fn discovery_received(&mut self, now: Timestamp, at: Timestamp) {
         self.list_watch.discovery_lost = false;
         if !self.list_watch.is_distributed {
-            self.step(now, Event::ListSource(ListSource::Heard { at }));
+            self.step(now, Event::ListSource(ListSource::Received { at }));
         }
     }
 
     /// Discovery was asked on a new connection.
-    pub fn discovery_asked(&mut self, now: Timestamp) {
+    pub fn discovery_resubscribed(&mut self, now: Timestamp) {
         if !self.list_watch.is_distributed {
-            self.step(now, Event::ListSource(ListSource::Asked));
+            self.step(now, Event::ListSource(ListSource::Resubscribed));
         }
     }
 
     /// The list comes from the domain from now on; what discovery says counts no longer.
-    pub fn list_distributed(&mut self, now: Timestamp, at: Timestamp) {
+    pub fn list_confirmed_by_domain(&mut self, now: Timestamp, at: Timestamp) {
         self.list_watch.is_distributed = true;
         self.step(now, Event::ListSource(ListSource::Confirmed { at }));
     }
 
     /// The list follows a source that may go out of reach; these workers are not of it. Where there is no source, the list is
     /// valid for as long as nobody changes it.
-    pub fn follow_list(&mut self, now: Timestamp, follows: bool, fixed: BTreeSet<WorkerId>) {
+    pub fn set_list_source(&mut self, now: Timestamp, follows: bool, fixed: BTreeSet<WorkerId>) {
         let source = if follows { ListSource::Followed { fixed } } else { ListSource::Fixed };
         self.step(now, Event::ListSource(source));
     }
--- a/src/core/write_checks.rs
+++ b/src/core/write_checks.rs
@@ -29,7 +29,7 @@
         let in_window = match (accepted.effect, accepted.first_written) {
             (_, None) | (Effect::Safe, _) => true,
             (Effect::Unsafe, Some(_)) => false,
-            (Effect::Keyed { window, .. }, Some(first)) => now + KEY_MARGIN < first.at + window,
+            (Effect::Keyed { window, .. }, Some(first)) => now + DEDUP_WINDOW_MARGIN < first.at + window,
         };
         in_window && self.accepts_work(now, attempt.worker)
     }
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -19,7 +19,7 @@
     pub(super) fn follow_list(&mut self) {
         let fixed: BTreeSet<_> = self.fixed.iter().map(|member| member.worker).collect();
         let follows = self.config.discovery.is_some() || self.operator.subscribes();
-        self.core.follow_list(self.reactor.now(), follows, fixed);
+        self.core.set_list_source(self.reactor.now(), follows, fixed);
     }
 
     pub(super) fn follow_discovery(&mut self, now: Timestamp) {
--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -341,7 +341,7 @@
         if *lists && up_to_date_at > place.list_heard_at {
             place.list_heard_at = up_to_date_at;
             if let Some(at) = up_to_date_at {
-                self.core.list_distributed(now, at);
+                self.core.list_confirmed_by_domain(now, at);
             }
         }
     }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -264,7 +264,7 @@
     fn opened(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.silent_at = context.now + SILENCE_TIMEOUT;
         link.put(&self.received_events.borrow().offset.to_be_bytes());
-        context.core.discovery_asked(context.now);
+        context.core.discovery_resubscribed(context.now);
         ControlFlow::Continue
     }
 
@@ -285,7 +285,7 @@
         }
         link.used(read);
         if read > 0 {
-            context.core.discovery_heard(context.now, link.arrived(link.inbox.len()));
+            context.core.discovery_received(context.now, link.arrived(link.inbox.len()));
         }
         if link.ended { ControlFlow::Close } else { ControlFlow::Continue }
     }
--- a/src/fleet/node/lease_ids.rs
+++ b/src/fleet/node/lease_ids.rs
@@ -15,11 +15,11 @@
 
 /// The lease of a task's part.
 pub(super) const fn lease_of(task: Task, part: u16) -> LeaseId {
-    LeaseId(task as u16 * Shares::PARTS + part)
+    LeaseId(task as u16 * Shares::MAX_PARTS + part)
 }
 
 /// The task's part that a lease stands for; `None` for a number that no task has.
 pub(super) fn task_part_of(lease: LeaseId) -> Option<TaskPart> {
-    let task = *Task::ALL.get(usize::from(lease.0 / Shares::PARTS))?;
-    Some(TaskPart { task, part: lease.0 % Shares::PARTS })
+    let task = *Task::ALL.get(usize::from(lease.0 / Shares::MAX_PARTS))?;
+    Some(TaskPart { task, part: lease.0 % Shares::MAX_PARTS })
 }
--- a/src/fleet/node/lease_preference.rs
+++ b/src/fleet/node/lease_preference.rs
@@ -74,7 +74,8 @@
     /// All leases of the fleet, in the order in which they are ranked and shown.
     pub(super) fn leases(&self) -> Vec<LeaseId> {
         let parts = 0..self.config.parts;
-        let parted = Task::PARTED.iter().flat_map(|task| parts.clone().map(|part| lease_of(*task, part)));
+        let parted =
+            Task::PARTITIONED.iter().flat_map(|task| parts.clone().map(|part| lease_of(*task, part)));
         let shed = self.config.shed.map(|_| lease_of(Task::Shed, 0));
         let publish = self.config.publishes.then_some(PUBLISH_LEASE);
         parted.chain(shed).chain(publish).collect()
--- a/src/front/frames.rs
+++ b/src/front/frames.rs
@@ -284,7 +284,7 @@
                 };
                 let (class, verdict) = match call {
                     Ok(call) if self.open.len() >= OPEN => {
-                        (Some(call.class), Verdict::Refused { cooldown: context.core.advice() })
+                        (Some(call.class), Verdict::Refused { cooldown: context.core.default_cooldown() })
                     }
                     Ok(call) => {
                         self.open.insert(frame.stream);
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -177,7 +177,7 @@
             return None;
         }
         if self.open.len() >= OPEN || !context.active {
-            let verdict = Verdict::Refused { cooldown: context.core.advice() };
+            let verdict = Verdict::Refused { cooldown: context.core.default_cooldown() };
             context.core.count_rejected_by_listener(class, &verdict);
             self.send(batch, response(id, &Answer { verdict, expired: false }), link);
             return None;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -63,7 +63,7 @@
     /// Nothing changes the list any more but who gives it.
     Fixed,
     /// The source was heard: the list was complete at that time.
-    Heard {
+    Received {
         /// When.
         at: Timestamp,
     },
@@ -74,7 +74,7 @@
         at: Timestamp,
     },
     /// It was asked anew and has not answered yet.
-    Asked,
+    Resubscribed,
 }
 
 /// Tasks of a whole fleet; one scheduler at a time does each part of one.
@@ -96,7 +96,7 @@
     pub const ALL: [Task; 4] = [Task::Probe, Task::Renew, Task::Shed, Task::Publish];
 
     /// Those that are cut into parts.
-    pub const PARTED: [Task; 2] = [Task::Probe, Task::Renew];
+    pub const PARTITIONED: [Task; 2] = [Task::Probe, Task::Renew];
 
     /// As operators read it.
     pub fn name(self) -> &'static str {
@@ -122,10 +122,10 @@
 
 impl Shares {
     /// Largest number of parts of a task.
-    pub const PARTS: u16 = 64;
+    pub const MAX_PARTS: u16 = 64;
 
     /// The part of [`Task::Renew`] under which this scheduler renews the gold instances of another that is gone.
-    pub fn stands_in(&self, index: u32) -> Option<u16> {
+    pub fn stand_in_part(&self, index: u32) -> Option<u16> {
         let part = (index % u32::from(self.parts.max(1))) as u16;
         Some(part).filter(|part| self.gone.contains(&index) && self.own.contains(&(Task::Renew, *part)))
     }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -4,7 +4,7 @@
 
 /// A keyed request is repeated no later than this before its group forgets it: the bytes of an attempt may take so
 /// long to be written. The decisions, the check before the write and chains use this one figure.
-pub const KEY_MARGIN: Duration = Duration::millis(100);
+pub const DEDUP_WINDOW_MARGIN: Duration = Duration::millis(100);
 
 /// Discovery sends a frame each second: one that is heard counts for this long, with some delay of the next. The decisions and
 /// the publisher of a domain use this one figure.
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -47,7 +47,8 @@
 
     /// The workers, in rendezvous order, whose keep-alives are ours to renew and end by then.
     fn keep_alives_due(&self, function: FunctionId, due_before: Timestamp) -> Vec<WorkerId> {
-        let is_ours = |keeper: u32| keeper == self.settings.index || self.shares.stands_in(keeper).is_some();
+        let is_ours =
+            |keeper: u32| keeper == self.settings.index || self.shares.stand_in_part(keeper).is_some();
         let is_due = |worker: WorkerId| {
             self.workers.get(worker).is_some_and(|worker| {
                 !worker.health.is_ejected(self.now) && worker.warm_until(function) <= due_before
@@ -61,7 +62,7 @@
 
     fn renew_keep_alive(&mut self, function: FunctionId, worker_id: WorkerId, out: &mut Actions) {
         let Some(worker) = self.workers.get(worker_id) else { return };
-        let part = self.shares.stands_in(self.keeper(function, worker_id));
+        let part = self.shares.stand_in_part(self.keeper(function, worker_id));
         // Where none is warm this is a load: one under way for each worker and function floods neither.
         let is_renewal = worker.warm_until(function) > self.now;
         if is_renewal || worker.pending_loads(self.now) == 0 && self.pending_loads(function) == 0 {
--- a/src/policy/readiness.rs
+++ b/src/policy/readiness.rs
@@ -128,7 +128,7 @@
                 self.fixed = fixed;
             }
             ListSource::Fixed => *self = ListValidity::default(),
-            ListSource::Heard { at } => self.extend(at + list_lifetime(settings)),
+            ListSource::Received { at } => self.extend(at + list_lifetime(settings)),
             ListSource::Confirmed { at } => {
                 // Discovery itself may have been silent for longer, by as much as its heartbeat is allowed.
                 let earliest = Timestamp(at.0.saturating_sub(DISCOVERY_HEARTBEAT_ALLOWANCE.0));
@@ -136,7 +136,7 @@
                 self.extend(counts_from + list_lifetime(settings));
             }
             // What it would have told counts as received as soon as it is asked.
-            ListSource::Asked => {
+            ListSource::Resubscribed => {
                 self.valid_until = self.valid_until.map(|before| before.min(now + lifetime));
             }
         }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -7,7 +7,7 @@
 pub fn may_repeat(effect: Effect, first_sent_at: Timestamp, now: Timestamp) -> bool {
     match effect {
         Effect::Safe => true,
-        Effect::Keyed { window, .. } => now + KEY_MARGIN < first_sent_at + window,
+        Effect::Keyed { window, .. } => now + DEDUP_WINDOW_MARGIN < first_sent_at + window,
         Effect::Unsafe => false,
     }
 }
@@ -24,7 +24,7 @@
 /// Whether the time is over in which workers drop repeats of a keyed request.
 pub fn is_window_over(effect: Effect, first_run: Option<SentTo>, now: Timestamp) -> bool {
     match (first_run, effect) {
-        (Some(first_run), Effect::Keyed { window, .. }) => now + KEY_MARGIN >= first_run.at + window,
+        (Some(first_run), Effect::Keyed { window, .. }) => now + DEDUP_WINDOW_MARGIN >= first_run.at + window,
         _ => false,
     }
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -32,7 +32,7 @@
 fn following(settings: Settings, workers: u64) -> Rig {
     let mut rig = Rig::new(settings, workers);
     rig.give(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
-    rig.give(Event::ListSource(ListSource::Heard { at: rig.now }));
+    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
     rig
 }
 
@@ -52,7 +52,7 @@
     rig.pass(Duration::millis(10));
     let actions = rig.give(Event::Request(call(2, 8, 0)));
     assert_eq!((sends(&actions).len(), probes(&actions).len()), (0, 1), "it is asked first");
-    rig.give(Event::ListSource(ListSource::Heard { at: rig.now }));
+    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
     let actions = rig.give(Event::Request(call(3, 9, 0)));
     assert_eq!((sends(&actions).len(), probes(&actions).len()), (1, 0), "heard again");
 }
@@ -72,8 +72,8 @@
     let mut rig = Rig::new(settings(OnMiss::Load), 4);
     rig.give(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
     assert_eq!(sends(&rig.give(Event::Request(call(1, 7, 0)))), vec![]);
-    rig.give(Event::ListSource(ListSource::Heard { at: rig.now }));
-    rig.give(Event::ListSource(ListSource::Asked));
+    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
+    rig.give(Event::ListSource(ListSource::Resubscribed));
     rig.pass(Duration(CONFIRMED.0 + Duration::millis(10).0));
     assert_eq!(sends(&rig.give(Event::Request(call(2, 8, 0)))), vec![], "sooner than without the dial");
 }
@@ -183,14 +183,14 @@
     assert_eq!(probes(&rig.answer(Status::Full)), vec![], "it may be full");
     rig.pass(Duration::millis(200));
     assert_eq!(probes(&rig.answer(Status::Full)), vec![]);
-    rig.give(Event::ListSource(ListSource::Heard { at: rig.now }));
+    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
     rig.pass(Duration::millis(200));
     assert_eq!(probes(&rig.answer(Status::Full)), vec![WorkerId(1)], "the third in a row");
     rig.give(probed(WorkerId(1), Status::Full));
     assert!(!rig.policy.is_confirmed(WorkerId(1), rig.now), "it drains, whatever the list says");
     rig.pass(Duration::millis(500));
     rig.give(Event::Members(ListKind::Delta, vec![member(1)]));
-    rig.give(Event::ListSource(ListSource::Heard { at: rig.now }));
+    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
     assert!(rig.policy.is_confirmed(WorkerId(1), rig.now), "the list has it as ready anew");
 }
 
@@ -206,7 +206,7 @@
             asked += 1;
             rig.give(probed(WorkerId(1), Status::Ok));
         }
-        rig.give(Event::ListSource(ListSource::Heard { at: rig.now }));
+        rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
         rig.pass(Duration::millis(50));
     }
     assert!((1..=3).contains(&asked), "{asked} in two seconds");
