--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -200,14 +200,14 @@
             process,
             // The later start is the member, as its clock would have it in the long run.
             generation: self.starts,
-            at: place(index),
-            fleet: message::fleet("lab", &[]),
+            address: place(index),
+            fleet_hash: message::fleet("lab", &[]),
             acceptors: electors.iter().map(|index| (*index, place(*index as usize))).collect(),
             address_overrides: BTreeMap::new(),
             lease: lease::LeaseConfig::new(electors, plan.term, plan.term, DRIFT_PPM),
             delay: plan.delay,
             size: plan.processes as u32,
-            shed: None,
+            shed_latency_objective: None,
             publishes: false,
             parts: plan.parts,
             fence_floor: self.now / 1_000_000,
@@ -478,7 +478,7 @@
     world.run_until(plan.length.0 + plan.calm.0 / 2);
     let before: Vec<(u64, u64)> = world.running.iter().flatten().map(|running| running.sent).collect();
     let told = world.now;
-    world.act(0, FleetInput::Seen(GossipTopic::Worker(1), GossipUpdate::Answers(true)));
+    world.act(0, FleetInput::Observed(GossipTopic::Worker(1), GossipUpdate::Answers(true)));
     world.run_until(plan.length.0 + plan.calm.0);
     let half = (plan.calm.0 / 2) as f64 / SECOND as f64;
     let sent: Vec<(f64, f64)> = world
--- a/lab/src/scale/members.rs
+++ b/lab/src/scale/members.rs
@@ -61,15 +61,15 @@
         let config = fleet::FleetConfig {
             process: fleet::Process { index: index as u32, incarnation },
             generation: incarnation,
-            at: place(index),
-            fleet: message::fleet("scale", &[]),
+            address: place(index),
+            fleet_hash: message::fleet("scale", &[]),
             acceptors: electors.iter().map(|index| (*index, place(*index as usize))).collect(),
             address_overrides: BTreeMap::new(),
             lease: lease::LeaseConfig::new(electors, TERM, TERM, DRIFT_PPM),
             delay: regions.longest(),
             size: size as u32,
             parts: PARTS,
-            shed: Some(LATENCY_OBJECTIVE),
+            shed_latency_objective: Some(LATENCY_OBJECTIVE),
             publishes: false,
             fence_floor: now.0 / 1_000_000,
             seed: plan.seed.wrapping_mul(1_000_003).wrapping_add(incarnation),
@@ -114,7 +114,7 @@
         if self.demand > now {
             return self.handle(now, FleetInput::Timer);
         }
-        self.demand = now + overload::TICK;
+        self.demand = now + overload::TICK_INTERVAL;
         // What comes stays well under what the workers bear: nothing is shed.
         let demand = Demand { offered: [100, 11, 0, 0], served: 110, open: 5 };
         self.handle(now, FleetInput::Demand(demand))
@@ -282,7 +282,7 @@
     fn tell(&mut self, worker: u64, told: &mut BTreeMap<u64, Timestamp>) {
         told.insert(worker, self.now());
         self.network.act(place(worker as usize % self.plan.members()), |member, now| {
-            member.handle(now, FleetInput::Seen(GossipTopic::Worker(worker), GossipUpdate::Answers(true)))
+            member.handle(now, FleetInput::Observed(GossipTopic::Worker(worker), GossipUpdate::Answers(true)))
         });
     }
 
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -2,14 +2,14 @@
 
 use super::{Core, Owner};
 use crate::chain;
-use crate::fleet::overload::{AdmissionLevel, Demand, DemandMeter, Gate, ranks};
+use crate::fleet::overload::{AdmissionGate, AdmissionLevel, Demand, DemandMeter, ranks};
 use crate::interface::{Duration, Timestamp};
 use crate::settings::Site;
 
 /// The demand at this process, and the admission level that the fleet has agreed on.
 pub(super) struct Overload {
     meter: DemandMeter,
-    gate: Gate,
+    gate: AdmissionGate,
     /// The rank of each class, by its priority weight.
     ranks: Vec<usize>,
 }
@@ -18,7 +18,7 @@
     pub(super) fn new(site: &Site) -> Overload {
         Overload {
             meter: DemandMeter::default(),
-            gate: Gate::default(),
+            gate: AdmissionGate::default(),
             ranks: ranks(&site.priority_weights()),
         }
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -383,7 +383,7 @@
                 }
                 Command::PublishHealth { worker, answers } => {
                     let (topic, update) = (GossipTopic::Worker(worker.0), GossipUpdate::Answers(answers));
-                    self.fleet(crate::fleet::FleetInput::Seen(topic, update));
+                    self.fleet(crate::fleet::FleetInput::Observed(topic, update));
                 }
                 Command::PublishCordon { worker, cordoned } => {
                     let worker = worker.0;
--- a/src/daemon/fleet.rs
+++ b/src/daemon/fleet.rs
@@ -53,8 +53,8 @@
         let setting = FleetConfig {
             process,
             generation: now.0,
-            at,
-            fleet: message::fleet(&setting.name, &agreed),
+            address: at,
+            fleet_hash: message::fleet(&setting.name, &agreed),
             acceptors: places(&setting.electors),
             address_overrides: places(&setting.via),
             delay: Duration::millis(setting.delay_ms),
@@ -62,13 +62,13 @@
             seed: process.incarnation,
             lease: LeaseConfig::new(electors, term, longest, setting.drift_ppm),
             parts: setting.parts,
-            shed: setting.shed.then(|| config.site.soonest()),
+            shed_latency_objective: setting.shed.then(|| config.site.soonest()),
             publishes,
             // Fences grow by far less than one a millisecond. Nothing else here rests on the time of day.
             fence_floor: now.0 / 1_000_000,
         };
         let parts = setting.parts;
-        let demand_at = setting.shed.map(|_| now);
+        let demand_at = setting.shed_latency_objective.map(|_| now);
         Ok(Member {
             demand_at,
             sheds: false,
@@ -151,7 +151,7 @@
         if *demand_at > now {
             return;
         }
-        *demand_at = now + overload::TICK;
+        *demand_at = now + overload::TICK_INTERVAL;
         let demand = self.core.demand(now);
         self.fleet(FleetInput::Demand(demand));
     }
--- a/src/daemon/upgrade.rs
+++ b/src/daemon/upgrade.rs
@@ -129,7 +129,7 @@
             return;
         }
         let connection = Box::new(PeerConnection::new(upgrade.queue.clone(), false));
-        let peer = self.reactor.add(stream, connection, true, handover::LIMITS, &mut self.core);
+        let peer = self.reactor.add(stream, connection, true, handover::BUFFER_LIMITS, &mut self.core);
         upgrade.peers.extend(peer);
     }
 
@@ -159,7 +159,8 @@
                     Err(_) => return Some(HandoverInput::NoPeer),
                 };
                 let connection = Box::new(PeerConnection::new(upgrade.queue.clone(), true));
-                let met = self.reactor.add(stream, connection, false, handover::LIMITS, &mut self.core);
+                let met =
+                    self.reactor.add(stream, connection, false, handover::BUFFER_LIMITS, &mut self.core);
                 return met.is_none().then_some(HandoverInput::ConnectFailed);
             }
             HandoverOutput::Send(peer, message) => self.send_to_peer(peer, &message),
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -18,8 +18,8 @@
 const UNCHANGED_RESEND_INTERVAL: Duration = Duration::millis(500);
 /// How often a process sends each update, in addition to the binary logarithm of the fleet's size.
 const EXTRA_TRANSMISSIONS: u32 = 3;
-/// Largest number of entries in one datagram; an entry takes at most [`LARGEST_ITEM`] bytes.
-pub const ITEMS: usize = 40;
+/// Largest number of entries in one datagram; an entry takes at most [`MAX_ENTRY_BYTES`] bytes.
+pub const MAX_ENTRIES_PER_DATAGRAM: usize = 40;
 
 /// The subject of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
 }
 
 /// Largest encoded entry in bytes: a topic of 6, an age of 5, and six counts of 3 with their tag; the others are smaller.
-pub const LARGEST_ITEM: usize = 30;
+pub const MAX_ENTRY_BYTES: usize = 30;
 
 impl GossipEntry {
     /// Whether the kind of the update belongs to the kind of the topic.
@@ -84,7 +84,7 @@
 
 impl GossipStore {
     /// Stores an observation of this process.
-    pub fn seen(&mut self, now: Timestamp, topic: GossipTopic, update: GossipUpdate) {
+    pub fn observe(&mut self, now: Timestamp, topic: GossipTopic, update: GossipUpdate) {
         self.store(now, topic, update, now);
     }
 
@@ -149,14 +149,14 @@
 
     /// Takes the entries to send next to `receivers` of `members`: those sent least often first, and the youngest of these
     /// first.
-    pub fn items_to_send(&mut self, now: Timestamp, members: usize, receivers: u32) -> Vec<GossipEntry> {
+    pub fn entries_to_send(&mut self, now: Timestamp, members: usize, receivers: u32) -> Vec<GossipEntry> {
         self.remove_expired(now);
         let max_transmissions = EXTRA_TRANSMISSIONS + usize::BITS - members.leading_zeros();
         let pending = self.stored.iter().filter(|(_, stored)| stored.transmissions < max_transmissions);
         let mut order: Vec<(u32, Duration, GossipTopic)> =
             pending.map(|(topic, stored)| (stored.transmissions, now - stored.at, *topic)).collect();
         order.sort_unstable();
-        order.truncate(ITEMS);
+        order.truncate(MAX_ENTRIES_PER_DATAGRAM);
         order.into_iter().filter_map(|(_, age, topic)| self.entry(topic, age, receivers)).collect()
     }
 
--- a/src/fleet/node/interface.rs
+++ b/src/fleet/node/interface.rs
@@ -17,9 +17,9 @@
     /// Orders processes that share an index: the one with the higher generation is the member.
     pub generation: u64,
     /// The address on which this process receives datagrams.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Hash of the fleet's name and of all that its processes must agree on; see [`crate::fleet::message::fleet`].
-    pub fleet: u64,
+    pub fleet_hash: u64,
     /// Addresses of the lease acceptors, by index (the operators' `electors`).
     pub acceptors: BTreeMap<u32, SocketAddr>,
     /// Processes that are reached at another address than the one they announce, by index.
@@ -33,7 +33,7 @@
     /// Number of parts into which each partitioned task is divided.
     pub parts: u16,
     /// Latency objective of the fleet's load shedding; `None` where the fleet does not shed load together.
-    pub shed: Option<Duration>,
+    pub shed_latency_objective: Option<Duration>,
     /// Whether this process is a candidate for the publish lease of its domain; see [`crate::fleet::distribution`].
     pub publishes: bool,
     /// Lower bound for new fences, should a majority of the acceptors lose its state at once.
@@ -50,7 +50,7 @@
     /// The time of [`super::FleetNode::next_timeout`] has been reached.
     Timer,
     /// This process has made an observation that is to be gossiped.
-    Seen(GossipTopic, GossipUpdate),
+    Observed(GossipTopic, GossipUpdate),
     /// Recent demand at this process, where the fleet sheds load together.
     Demand(Demand),
     /// Graceful shutdown: leases are released, and the other members are notified.
--- a/src/fleet/node/lease_preference.rs
+++ b/src/fleet/node/lease_preference.rs
@@ -76,7 +76,7 @@
         let parts = 0..self.config.parts;
         let parted =
             Task::PARTITIONED.iter().flat_map(|task| parts.clone().map(|part| lease_of(*task, part)));
-        let shed = self.config.shed.map(|_| lease_of(Task::Shed, 0));
+        let shed = self.config.shed_latency_objective.map(|_| lease_of(Task::Shed, 0));
         let publish = self.config.publishes.then_some(PUBLISH_LEASE);
         parted.chain(shed).chain(publish).collect()
     }
--- a/src/fleet/node/mod.rs
+++ b/src/fleet/node/mod.rs
@@ -17,7 +17,7 @@
 use super::membership::{Identity, Membership, MembershipChange, MembershipConfig};
 use super::message::{self, Datagram, DatagramError};
 use super::mix;
-use super::overload::{Controller, Demand, Gate, OverloadController};
+use super::overload::{AdmissionGate, Controller, Demand, OverloadController};
 use crate::interface::{Duration, Task, Timestamp};
 use absence::Absence;
 use held_leases::HeldLeases;
@@ -43,7 +43,7 @@
     gossip: GossipStore,
     controller: OverloadController,
     /// The admission level that is in force here.
-    admission: Gate,
+    admission: AdmissionGate,
     rng: SmallRng,
     /// The leases last reported as held.
     held: HeldLeases,
@@ -64,13 +64,13 @@
         let contacts = config.acceptors.iter().map(reachable).collect();
         let swim = MembershipConfig { delay: config.delay, size: config.size, contacts };
         let first_ranking_at = now + Duration(swim.period().0 * PERIODS_BEFORE_RANKING);
-        let identity = Identity { process, generation: config.generation, turn: 0, at: config.at };
+        let identity = Identity { process, generation: config.generation, turn: 0, at: config.address };
         FleetNode {
             lease_node: LeaseNode::new(process, now, config.fence_floor, &config.lease),
             membership: Membership::new(now, identity, mix(config.seed, 1), swim),
             gossip: GossipStore::default(),
             controller: OverloadController::default(),
-            admission: Gate::default(),
+            admission: AdmissionGate::default(),
             rng: SmallRng::seed_from_u64(mix(config.seed, 2)),
             held: HeldLeases::default(),
             preference: LeasePreference::new(first_ranking_at),
@@ -108,7 +108,7 @@
         match input {
             FleetInput::Datagram(bytes, from) => self.on_datagram(now, bytes, from, &mut outgoing, &mut out),
             FleetInput::Timer => {}
-            FleetInput::Seen(topic, update) => self.gossip.seen(now, topic, update),
+            FleetInput::Observed(topic, update) => self.gossip.observe(now, topic, update),
             FleetInput::Demand(demand) => self.on_demand(now, demand, &mut out),
             FleetInput::Leave => {
                 self.release_all_leases(now, &mut outgoing.leases);
@@ -147,7 +147,7 @@
         outgoing: &mut Outgoing,
         out: &mut Vec<FleetOutput>,
     ) {
-        let datagram = match message::read(self.config.fleet, bytes) {
+        let datagram = match message::read(self.config.fleet_hash, bytes) {
             Ok(datagram) => datagram,
             Err(error) => {
                 out.push(FleetOutput::Dropped(from, error));
@@ -226,7 +226,7 @@
                 self.controller.receive(now, index, demand, at);
             }
             (GossipTopic::Fleet, GossipUpdate::AdmissionLevel(level))
-                if self.config.shed.is_some() && self.admission.receive(level, at) =>
+                if self.config.shed_latency_objective.is_some() && self.admission.receive(level, at) =>
             {
                 out.push(FleetOutput::AdmissionLevel(level, at));
             }
@@ -238,8 +238,8 @@
     /// Publishes this process's demand. The holder of [`Task::Shed`] computes the fleet's admission level from it.
     fn on_demand(&mut self, now: Timestamp, demand: Demand, out: &mut Vec<FleetOutput>) {
         let index = self.config.process.index;
-        let Some(latency_objective) = self.config.shed else { return };
-        self.gossip.seen(now, GossipTopic::Process(index), GossipUpdate::Demand(demand));
+        let Some(latency_objective) = self.config.shed_latency_objective else { return };
+        self.gossip.observe(now, GossipTopic::Process(index), GossipUpdate::Demand(demand));
         self.controller.receive(now, index, demand, now);
         match self.lease_node.holds(now, lease_of(Task::Shed, 0)) {
             Some(grant) => self.update_admission_level(now, grant.fence, latency_objective, out),
@@ -266,7 +266,7 @@
         let before = self.admission.level(now);
         let level = self.controller.tick(now, controller, latency_objective, before);
         self.admission.receive(level, now);
-        self.gossip.seen(now, GossipTopic::Fleet, GossipUpdate::AdmissionLevel(level));
+        self.gossip.observe(now, GossipTopic::Fleet, GossipUpdate::AdmissionLevel(level));
         out.push(FleetOutput::AdmissionLevel(level, now));
         let all: Vec<u32> = self.members().collect();
         if all.len() <= MAX_DIRECT_LEVEL_RECEIVERS {
@@ -325,4 +325,4 @@
     }
 }
 
-const _: () = assert!(gossip::ITEMS * gossip::LARGEST_ITEM + 64 < message::LARGEST);
+const _: () = assert!(gossip::MAX_ENTRIES_PER_DATAGRAM * gossip::MAX_ENTRY_BYTES + 64 < message::LARGEST);
--- a/src/fleet/node/outgoing.rs
+++ b/src/fleet/node/outgoing.rs
@@ -126,7 +126,7 @@
         if members.is_empty() {
             return;
         }
-        let entries: Vec<GossipEntry> = self.gossip.items_to_send(now, members.len(), GOSSIP_FANOUT);
+        let entries: Vec<GossipEntry> = self.gossip.entries_to_send(now, members.len(), GOSSIP_FANOUT);
         if entries.is_empty() {
             return;
         }
@@ -145,7 +145,7 @@
 
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
     fn send_datagram(&mut self, to: SocketAddr, datagram: Datagram, out: &mut Vec<FleetOutput>) {
-        let bytes = message::write(self.config.fleet, &datagram);
+        let bytes = message::write(self.config.fleet_hash, &datagram);
         self.sent.datagrams += 1;
         self.sent.bytes += bytes.len() as u64;
         out.push(FleetOutput::Send(to, bytes));
--- a/src/fleet/node/status.rs
+++ b/src/fleet/node/status.rs
@@ -121,7 +121,7 @@
             members: self.members().collect(),
             votes: self.lease_node.acceptor().map(Acceptor::votes),
             leases: self.leases().into_iter().filter_map(|lease| self.lease_status(now, lease)).collect(),
-            level: self.admission.level(now).filter(|level| level.admit != AdmissionLevel::OPEN),
+            level: self.admission.level(now).filter(|level| level.admit != AdmissionLevel::ADMIT_ALL),
             sent: self.sent,
             gossip: self.gossip.len(),
             left: self.left,
--- a/src/fleet/overload/controller.rs
+++ b/src/fleet/overload/controller.rs
@@ -4,7 +4,7 @@
 //! the target wait the limit rises by a part of the load with each tick. Above it the limit is the capacity, less what
 //! drains the excess within [`EXCESS_DRAIN_SECS`].
 
-use super::{AdmissionLevel, Demand, LASTS, RANKS};
+use super::{AdmissionLevel, Demand, RANK_COUNT, REPORT_LIFETIME};
 use crate::interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct FleetDemand {
     /// Requests a second, by rank.
-    pub offered: [f64; RANKS],
+    pub offered: [f64; RANK_COUNT],
     /// Requests served in a second.
     pub served: f64,
     /// Requests that are open now.
@@ -69,7 +69,7 @@
 impl OverloadController {
     /// Records the demand of a process, also of this one, as of `at`. Older reports than the known one are ignored.
     pub fn receive(&mut self, now: Timestamp, index: u32, demand: Demand, at: Timestamp) {
-        self.reports.retain(|_, report| now - report.at < LASTS);
+        self.reports.retain(|_, report| now - report.at < REPORT_LIFETIME);
         if self.reports.len() < MAX_PEERS || self.reports.contains_key(&index) {
             let known = self.reports.entry(index).or_insert(PeerReport { demand, at });
             if at >= known.at {
@@ -80,14 +80,14 @@
 
     /// The demand of the fleet from all recent reports. The weight of each peer is bounded by [`MAX_PEER_WEIGHT`].
     pub(super) fn sum(&self, now: Timestamp) -> FleetDemand {
-        let recent = self.reports.values().filter(|report| now - report.at < LASTS);
+        let recent = self.reports.values().filter(|report| now - report.at < REPORT_LIFETIME);
         let sized: Vec<(f64, &Demand)> =
             recent.map(|report| (peer_size(&report.demand), &report.demand)).collect();
         let mut sizes: Vec<f64> = sized.iter().map(|(size, _)| *size).collect();
         sizes.sort_by(f64::total_cmp);
         // Of two peers the smaller one is the median: a peer that lies must not be its own measure.
         let median = sizes.get(sizes.len().saturating_sub(1) / 2).copied().unwrap_or_default();
-        let mut total = FleetDemand { offered: [0.0; RANKS], served: 0.0, open: 0.0 };
+        let mut total = FleetDemand { offered: [0.0; RANK_COUNT], served: 0.0, open: 0.0 };
         for (size, demand) in sized {
             let weight = (median * MAX_PEER_WEIGHT / size).min(1.0);
             for (sum, count) in total.offered.iter_mut().zip(demand.offered) {
@@ -111,7 +111,7 @@
         let load: f64 = offered.iter().sum();
         if self.fence != Some(controller.fence) {
             self.fence = Some(controller.fence);
-            let limited = before.filter(|level| level.admit != AdmissionLevel::OPEN);
+            let limited = before.filter(|level| level.admit != AdmissionLevel::ADMIT_ALL);
             self.limit = limited.map(|level| admitted_rate(&offered, level));
         }
         // Under overload fewer requests are completed than could be: the capacity measured before counts for a while.
@@ -128,9 +128,9 @@
     }
 
     /// Distributes the limit over the ranks, the highest priority first.
-    fn admit(&self, offered: &[f64; RANKS]) -> [u8; RANKS] {
-        let Some(mut left) = self.limit else { return AdmissionLevel::OPEN };
-        let mut admit = AdmissionLevel::OPEN;
+    fn admit(&self, offered: &[f64; RANK_COUNT]) -> [u8; RANK_COUNT] {
+        let Some(mut left) = self.limit else { return AdmissionLevel::ADMIT_ALL };
+        let mut admit = AdmissionLevel::ADMIT_ALL;
         for (part, load) in admit.iter_mut().zip(offered) {
             let admitted = left.min(*load);
             left -= admitted;
@@ -151,6 +151,6 @@
 }
 
 /// Requests a second that a level admits of what is offered.
-fn admitted_rate(offered: &[f64; RANKS], level: AdmissionLevel) -> f64 {
+fn admitted_rate(offered: &[f64; RANK_COUNT], level: AdmissionLevel) -> f64 {
     offered.iter().zip(level.admit).map(|(rate, part)| rate * f64::from(part) / 255.0).sum()
 }
--- a/src/fleet/overload/demand_meter.rs
+++ b/src/fleet/overload/demand_meter.rs
@@ -1,44 +1,44 @@
 //! Counts of requests offered to and served by this process over the last second, in quarters of a second.
 
-use super::{Demand, RANKS, TICK};
+use super::{Demand, RANK_COUNT, TICK_INTERVAL};
 use crate::interface::Timestamp;
 use std::collections::VecDeque;
 
-/// Number of [`TICK`]s that are counted: one second.
+/// Number of [`TICK_INTERVAL`]s that are counted: one second.
 const QUARTERS: usize = 4;
 
 #[derive(Clone, Copy, Debug)]
 struct Quarter {
     number: u64,
-    offered: [u32; RANKS],
+    offered: [u32; RANK_COUNT],
     served: u32,
 }
 
 /// Measures the demand at this process.
 #[derive(Clone, Debug, Default)]
 pub struct DemandMeter {
-    /// The current quarter is the first; each begins at a multiple of [`TICK`].
+    /// The current quarter is the first; each begins at a multiple of [`TICK_INTERVAL`].
     quarters: VecDeque<Quarter>,
 }
 
 impl DemandMeter {
     fn quarter(&mut self, now: Timestamp) -> &mut Quarter {
-        let number = now.0 / TICK.0;
+        let number = now.0 / TICK_INTERVAL.0;
         self.forget(now);
         if self.quarters.front().is_none_or(|quarter| quarter.number < number) {
-            self.quarters.push_front(Quarter { number, offered: [0; RANKS], served: 0 });
+            self.quarters.push_front(Quarter { number, offered: [0; RANK_COUNT], served: 0 });
         }
         &mut self.quarters[0]
     }
 
     fn forget(&mut self, now: Timestamp) {
-        let oldest = (now.0 / TICK.0).saturating_sub(QUARTERS as u64 - 1);
+        let oldest = (now.0 / TICK_INTERVAL.0).saturating_sub(QUARTERS as u64 - 1);
         self.quarters.retain(|quarter| quarter.number >= oldest);
     }
 
     /// A request of this rank has arrived.
     pub fn record_arrival(&mut self, now: Timestamp, rank: usize) {
-        self.quarter(now).offered[rank.min(RANKS - 1)] += 1;
+        self.quarter(now).offered[rank.min(RANK_COUNT - 1)] += 1;
     }
 
     /// A request was served, before its deadline or after.
--- a/src/fleet/overload/gate.rs
+++ b/src/fleet/overload/gate.rs
@@ -1,6 +1,6 @@
 //! Applies the fleet's admission level to the requests of this process.
 
-use super::{AdmissionLevel, LASTS};
+use super::{AdmissionLevel, REPORT_LIFETIME};
 use crate::interface::{Duration, Timestamp};
 
 /// Credit that admits one request: an admission level is given in parts of it.
@@ -15,14 +15,14 @@
 
 /// Admits or rejects requests by the fleet's latest admission level.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct AdmissionGate {
     latest: Option<TimedLevel>,
     /// Credit by rank: each request adds the part of its rank that is admitted.
-    credit: [u32; super::RANKS],
+    credit: [u32; super::RANK_COUNT],
     rejected: u32,
 }
 
-impl Gate {
+impl AdmissionGate {
     /// Adopts a level as of `at`; returns whether it supersedes the known one. A level of an earlier controller never
     /// supersedes one of a later controller, nor an older level a newer one of the same controller.
     pub fn receive(&mut self, level: AdmissionLevel, at: Timestamp) -> bool {
@@ -35,7 +35,7 @@
 
     /// The level in force; `None` where there is none, or it has expired.
     pub fn level(&self, now: Timestamp) -> Option<AdmissionLevel> {
-        self.latest.filter(|known| now - known.at < LASTS).map(|known| known.level)
+        self.latest.filter(|known| now - known.at < REPORT_LIFETIME).map(|known| known.level)
     }
 
     /// Whether a request of this rank is admitted: the rank's part of all requests is, spread evenly.
--- a/src/fleet/overload/mod.rs
+++ b/src/fleet/overload/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Every process measures its demand ([`DemandMeter`]) and gossips it. The holder of a lease, the controller, computes the
 //! admission level ([`OverloadController`]) and publishes it with its fence; every process applies the latest level to its
-//! own requests ([`Gate`]). No I/O and no clock. The invariants, and where each is kept:
+//! own requests ([`AdmissionGate`]). No I/O and no clock. The invariants, and where each is kept:
 //!
 //! - requests are admitted by priority weight: a class is shed only where all classes of lower weight are shed entirely
 //!   ([`OverloadController`]);
 //! - some of the load is always admitted, so that a recovery of the workers is noticed ([`OverloadController`]);
 //! - no peer weighs more than three times the median one, whatever it reports ([`OverloadController`]);
-//! - a level under an earlier fence never supersedes one under a later fence ([`Gate`]);
-//! - an expired level sheds nothing: without a controller each process is on its own ([`Gate`]).
+//! - a level under an earlier fence never supersedes one under a later fence ([`AdmissionGate`]);
+//! - an expired level sheds nothing: without a controller each process is on its own ([`AdmissionGate`]).
 
 mod controller;
 mod demand_meter;
@@ -17,24 +17,24 @@
 
 pub use controller::{Controller, OverloadController};
 pub use demand_meter::DemandMeter;
-pub use gate::Gate;
+pub use gate::AdmissionGate;
 
 use crate::interface::Duration;
 use serde::{Deserialize, Serialize};
 
 /// Number of ranks of classes by priority weight, the first having the highest. Where a site has more distinct weights,
 /// the last rank contains all that are left.
-pub const RANKS: usize = 4;
+pub const RANK_COUNT: usize = 4;
 /// Interval at which demand is published and the admission level computed.
-pub const TICK: Duration = Duration::millis(250);
+pub const TICK_INTERVAL: Duration = Duration::millis(250);
 /// Time after which an admission level or a peer's report expires.
-pub const LASTS: Duration = Duration::millis(3_000);
+pub const REPORT_LIFETIME: Duration = Duration::millis(3_000);
 
 /// Demand at one process: counts of the last second, and requests that are open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Demand {
     /// Requests that arrived, by rank.
-    pub offered: [u16; RANKS],
+    pub offered: [u16; RANK_COUNT],
     /// Requests that were served, before their deadline or after.
     pub served: u16,
     /// Requests that were admitted and are not answered yet.
@@ -49,12 +49,12 @@
     /// The controller's index; processes send their demand to it directly.
     pub by: u32,
     /// The fraction by rank.
-    pub admit: [u8; RANKS],
+    pub admit: [u8; RANK_COUNT],
 }
 
 impl AdmissionLevel {
     /// All requests are admitted.
-    pub const OPEN: [u8; RANKS] = [u8::MAX; RANKS];
+    pub const ADMIT_ALL: [u8; RANK_COUNT] = [u8::MAX; RANK_COUNT];
 
     /// Number of ranks of which some requests are rejected.
     pub fn shed(&self) -> u64 {
@@ -70,7 +70,7 @@
     let rank = |priority_weight: &f64| {
         order.iter().position(|one| one.total_cmp(priority_weight).is_eq()).unwrap_or_default()
     };
-    priority_weights.iter().map(|priority_weight| rank(priority_weight).min(RANKS - 1)).collect()
+    priority_weights.iter().map(|priority_weight| rank(priority_weight).min(RANK_COUNT - 1)).collect()
 }
 
 #[cfg(test)]
--- a/src/fleet/overload/tests.rs
+++ b/src/fleet/overload/tests.rs
@@ -12,7 +12,7 @@
 /// The only controller of most tests.
 const CONTROLLER: Controller = Controller { fence: 1, index: 0 };
 
-fn demand(offered: [u16; RANKS], served: u16, open: u16) -> Demand {
+fn demand(offered: [u16; RANK_COUNT], served: u16, open: u16) -> Demand {
     Demand { offered, served, open }
 }
 
@@ -40,10 +40,10 @@
     }
     assert_eq!(meter.demand(MS(2_999), 10), demand([7, 3, 0, 0], 3, 10));
     assert_eq!(meter.demand(MS(3_600), 10), demand([2, 0, 0, 0], 1, 10));
-    assert_eq!(meter.demand(MS(9_000), 10), demand([0; RANKS], 0, 10));
-    meter.record_arrival(MS(1), RANKS + 5);
+    assert_eq!(meter.demand(MS(9_000), 10), demand([0; RANK_COUNT], 0, 10));
+    meter.record_arrival(MS(1), RANK_COUNT + 5);
     assert_eq!(
-        meter.demand(MS(9_000), 10).offered[RANKS - 1],
+        meter.demand(MS(9_000), 10).offered[RANK_COUNT - 1],
         0,
         "a clock that goes back counts nothing now"
     );
@@ -51,8 +51,8 @@
 
 #[test]
 fn a_gate_lets_in_the_part_told_evenly_and_forgets_old_words() {
-    let mut gate = Gate::default();
-    let count = |gate: &mut Gate, now| (0..510).filter(|_| gate.admits(now, 1)).count();
+    let mut gate = AdmissionGate::default();
+    let count = |gate: &mut AdmissionGate, now| (0..510).filter(|_| gate.admits(now, 1)).count();
     assert_eq!(count(&mut gate, MS(1_000)), 510, "nobody has said anything");
     assert!(gate.receive(AdmissionLevel { fence: 7, by: 0, admit: [255, 51, 0, 0] }, MS(1_000)));
     assert_eq!(count(&mut gate, MS(1_500)), 102);
@@ -64,7 +64,7 @@
 /// A controller that was paused, or cut off, goes on saying what was right under its earlier fence.
 #[test]
 fn an_earlier_governors_word_is_not_followed_after_a_later_ones() {
-    let mut gate = Gate::default();
+    let mut gate = AdmissionGate::default();
     let word = |fence, part| AdmissionLevel { fence, by: 0, admit: [255, part, 0, 0] };
     assert!(gate.receive(word(8, 100), MS(500)));
     assert!(!gate.receive(word(7, 9), MS(900)), "an earlier fence");
@@ -78,7 +78,7 @@
 
 #[test]
 fn cooldowns_are_spread() {
-    let mut gate = Gate::default();
+    let mut gate = AdmissionGate::default();
     let mut all: Vec<u64> = (0..100).map(|_| gate.cooldown(Duration::millis(500)).0 / 1_000_000).collect();
     all.sort_unstable();
     assert!(all[0] >= 250 && all[99] <= 500, "{all:?}");
@@ -110,13 +110,13 @@
     controller.receive(MS(0), 1, demand([30, 70, 0, 0], 10, 90), MS(0));
     assert_eq!(
         controller.tick(MS(3_000), CONTROLLER, LATENCY_OBJECTIVE, None).admit,
-        AdmissionLevel::OPEN,
+        AdmissionLevel::ADMIT_ALL,
         "three seconds old"
     );
     controller.receive(MS(3_000), 1, demand([1, 5, 0, 0], 0, 6), MS(3_000));
     assert_eq!(
         controller.tick(MS(3_000), CONTROLLER, LATENCY_OBJECTIVE, None).admit,
-        AdmissionLevel::OPEN,
+        AdmissionLevel::ADMIT_ALL,
         "six calls"
     );
 }
@@ -129,7 +129,7 @@
     controller.receive(MS(0), 100, demand([30_000, 0, 0, 0], 0, 60_000), MS(0));
     assert_eq!(
         controller.tick(MS(0), CONTROLLER, LATENCY_OBJECTIVE, None).admit,
-        AdmissionLevel::OPEN,
+        AdmissionLevel::ADMIT_ALL,
         "330 wait of 1,000 served"
     );
     controller.receive(MS(900), 101, demand([6, 0, 0, 0], 6, 6), MS(900));
@@ -152,7 +152,7 @@
 struct Fleet {
     meters: Vec<DemandMeter>,
     open: Vec<usize>,
-    gates: Vec<Gate>,
+    gates: Vec<AdmissionGate>,
     controller: OverloadController,
     fence: u64,
     now: u64,
@@ -170,7 +170,7 @@
 impl Fleet {
     fn new(count: usize, able: f64) -> Fleet {
         let workers = Workers { able, credit: 0.0, queue: VecDeque::new(), gone: 0, seconds: vec![] };
-        let (meters, gates) = (vec![DemandMeter::default(); count], vec![Gate::default(); count]);
+        let (meters, gates) = (vec![DemandMeter::default(); count], vec![AdmissionGate::default(); count]);
         let controller = OverloadController::default();
         Fleet {
             meters,
@@ -315,7 +315,7 @@
     /// Whatever is told: by priority weight, never less than a tenth of what was told, and never a word that goes up without end.
     #[test]
     fn words_go_by_worth(
-        told in prop::collection::vec((any::<[u16; RANKS]>(), any::<u16>(), any::<u16>(), 0u64..4_000), 1..40),
+        told in prop::collection::vec((any::<[u16; RANK_COUNT]>(), any::<u16>(), any::<u16>(), 0u64..4_000), 1..40),
     ) {
         let mut controller = OverloadController::default();
         for (n, (offered, ended, spoilt, at)) in told.into_iter().enumerate() {
@@ -323,7 +323,7 @@
             controller.receive(now, n as u32 % 5, demand(offered, ended, spoilt), MS(at));
             let FleetDemand { offered, .. } = controller.sum(now);
             let admit = controller.tick(now, CONTROLLER, LATENCY_OBJECTIVE, None).admit;
-            let shed = (0..RANKS).find(|rank| admit[*rank] < 254 && offered[*rank] > 0.0);
+            let shed = (0..RANK_COUNT).find(|rank| admit[*rank] < 254 && offered[*rank] > 0.0);
             if let Some(shed) = shed {
                 prop_assert!(admit[shed + 1..].iter().all(|part| *part == 0), "{admit:?} of {offered:?}");
             }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -22,15 +22,15 @@
     FleetConfig {
         process: Process { index, incarnation },
         generation: incarnation,
-        at: place(at),
-        fleet: 7,
+        address: place(at),
+        fleet_hash: 7,
         acceptors: acceptors.iter().map(|n| (*n, place(*n as u16))).collect(),
         address_overrides: Default::default(),
         lease: LeaseConfig::new(acceptors, TERM, TERM, 1_000),
         delay: Duration::millis(20),
         size: 4,
         parts: 1,
-        shed: Some(Duration::millis(1_000)),
+        shed_latency_objective: Some(Duration::millis(1_000)),
         publishes: false,
         fence_floor: 0,
         seed: incarnation,
@@ -51,7 +51,7 @@
 
 impl Net {
     fn new(configs: Vec<FleetConfig>) -> Net {
-        let nodes = configs.into_iter().map(|s| (s.at, FleetNode::new(MS(0), s))).collect();
+        let nodes = configs.into_iter().map(|s| (s.address, FleetNode::new(MS(0), s))).collect();
         Net { now: 0, nodes, seen: vec![], kept: vec![], keeps: false, ahead: Default::default() }
     }
 
@@ -233,22 +233,22 @@
         None,
         "older than what is known"
     );
-    assert_eq!(news.items_to_send(MS(1_100), 2, 2), [item(gone, 450)], "its age goes on");
+    assert_eq!(news.entries_to_send(MS(1_100), 2, 2), [item(gone, 450)], "its age goes on");
     assert_eq!(news.known(MS(1_100), one), Some((gone, MS(650))));
-    news.seen(MS(1_200), one, GossipUpdate::Answers(true));
+    news.observe(MS(1_200), one, GossipUpdate::Answers(true));
     assert_eq!(
-        news.items_to_send(MS(1_200), 2, 2),
+        news.entries_to_send(MS(1_200), 2, 2),
         [item(GossipUpdate::Answers(true), 0)],
         "told anew, for it is another word"
     );
     assert_eq!(news.receive(MS(1_300), item(gone, u32::MAX), delay), None, "too old to be true still");
     for _ in 0..9 {
-        news.items_to_send(MS(1_300), 2, 2);
+        news.entries_to_send(MS(1_300), 2, 2);
     }
-    assert!(news.items_to_send(MS(1_300), 2, 2).is_empty(), "nothing is told for ever");
+    assert!(news.entries_to_send(MS(1_300), 2, 2).is_empty(), "nothing is told for ever");
     assert!(news.known(MS(1_200) + MAX_AGE + Duration::millis(1), one).is_none());
     for n in 0..10_000 {
-        news.seen(MS(2_000 + n), GossipTopic::Worker(n), gone);
+        news.observe(MS(2_000 + n), GossipTopic::Worker(n), gone);
     }
     assert_eq!(news.len(), 4_096, "bounded");
     assert!(
@@ -519,7 +519,7 @@
     let next = pass(&mut net, 1_000);
     assert!(next.len() == 1 && next[0].0 != holder && next[0].1 > fence, "{next:?}");
     // It ends without a word, and the one that left has come back.
-    let back = configs.iter().position(|config| config.at == holder).unwrap();
+    let back = configs.iter().position(|config| config.address == holder).unwrap();
     net.nodes.retain(|(at, _)| *at != holder && *at != next[0].0);
     let again = FleetConfig {
         process: Process { incarnation: 90, ..configs[back].process },
--- a/src/handover/connection.rs
+++ b/src/handover/connection.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// Buffers of a peer's connection, in bytes: a message to read, and no bound on what waits to be written.
-pub const LIMITS: BufferLimits = BufferLimits { inbox: MAX_MESSAGE_LENGTH + 4, outbox: usize::MAX };
+pub const BUFFER_LIMITS: BufferLimits = BufferLimits { inbox: MAX_MESSAGE_LENGTH + 4, outbox: usize::MAX };
 /// What happened at connections to peers, for the daemon to take.
 #[derive(Default)]
 pub struct InputQueue {
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -7,7 +7,7 @@
 pub mod message;
 mod state;
 
-pub use connection::{InputQueue, LIMITS, PeerConnection};
+pub use connection::{BUFFER_LIMITS, InputQueue, PeerConnection};
 pub use state::{
     DisconnectReason, HandoverError, HandoverInput, HandoverOutput, HandoverState, STATE_TIMEOUT,
 };
