--- a/lab/src/domain.rs
+++ b/lab/src/domain.rs
@@ -265,7 +265,7 @@
         self.starts += 1;
         let setting = DistributionConfig {
             role,
-            at,
+            own_address: at,
             interest: if role == Role::Subscriber { self.interest(index) } else { Interest::All },
             parents: self.parents(role).into_iter().filter(|parent| *parent != at).collect(),
             replicas: (0..self.plan.replicas).map(address_of).collect(),
--- a/lab/src/hollow.rs
+++ b/lab/src/hollow.rs
@@ -46,7 +46,7 @@
     ) -> HollowNode {
         let begun = Instant::now();
         HollowNode {
-            at: setting.at,
+            at: setting.own_address,
             role: setting.role,
             interest: setting.interest.clone(),
             process,
--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -78,7 +78,7 @@
         let setting_name = setting.name.clone();
         let setting = DistributionConfig {
             role,
-            at,
+            own_address: at,
             interest: interest(setting.zones.as_deref(), &config.site.zones),
             parents: setting.parents.clone(),
             replicas: setting.replicas.clone(),
@@ -335,7 +335,7 @@
         let last_frame = self.received_events.borrow().last_frame;
         let Some(Distribution { place: Some(place), lists, .. }) = &mut self.distribution else { return };
         if let Some(at) = last_frame {
-            place.node.borrow_mut().source_heard(at);
+            place.node.borrow_mut().confirm_source(at);
         }
         let up_to_date_at = place.node.borrow().up_to_date_at();
         if *lists && up_to_date_at > place.list_heard_at {
@@ -401,7 +401,7 @@
         let Some(place) = self.place() else { return };
         let Some(publisher) = place.publisher.as_ref().filter(|publisher| publisher.waits()) else { return };
         let node = place.node.clone();
-        let serves = node.borrow().publishes(self.reactor.now());
+        let serves = node.borrow().publishing_fence(self.reactor.now());
         if publisher.fence.is_none() || serves != publisher.fence {
             return;
         }
--- a/src/fleet/distribution/interface.rs
+++ b/src/fleet/distribution/interface.rs
@@ -22,7 +22,7 @@
     /// Its role.
     pub role: Role,
     /// Its own address, as the others know it.
-    pub at: SocketAddr,
+    pub own_address: SocketAddr,
     /// What it wants. Relays and replicas want all, whatever is said here.
     pub interest: Interest,
     /// The processes that may feed it; replicas follow the publisher instead.
--- a/src/fleet/distribution/node.rs
+++ b/src/fleet/distribution/node.rs
@@ -28,23 +28,24 @@
     publisher: Publisher,
     counters: DistributionCounters,
     /// When the publisher's own list was last known to be complete; none where nothing tells.
-    source_heard_at: Option<Timestamp>,
+    source_confirmed_at: Option<Timestamp>,
 }
 
 impl DistributionNode {
     /// A process that has just started.
     pub fn new(now: Timestamp, config: DistributionConfig, check: Box<dyn ChangeCheck>) -> DistributionNode {
-        let DistributionConfig { role, at, ref interest, ref parents, ref replicas, seed, .. } = config;
+        let DistributionConfig { role, own_address, ref interest, ref parents, ref replicas, seed, .. } =
+            config;
         let interest = if role == Role::Subscriber { interest.clone().in_order() } else { Interest::All };
         let parents = if role == Role::Replica { vec![] } else { parents.clone() };
         DistributionNode {
-            follower: Follower::new(now, interest, parents, at, seed),
+            follower: Follower::new(now, interest, parents, own_address, seed),
             children: Children::new(now, config.catch_up_bytes_per_second),
             voter: Voter::default(),
-            publisher: Publisher::new(at, replicas),
+            publisher: Publisher::new(own_address, replicas),
             log: Log::default(),
             counters: DistributionCounters::default(),
-            source_heard_at: None,
+            source_confirmed_at: None,
             check,
             config,
         }
@@ -62,7 +63,7 @@
     pub fn handle(&mut self, now: Timestamp, event: DistributionInput) -> Vec<DistributionOutput> {
         let mut out = vec![];
         match event {
-            DistributionInput::Received { from, messages } if from != self.config.at => {
+            DistributionInput::Received { from, messages } if from != self.config.own_address => {
                 messages.iter().for_each(|message| self.receive(now, from, message.clone(), &mut out));
             }
             DistributionInput::Received { .. } | DistributionInput::Timer => {}
@@ -106,8 +107,8 @@
     }
 
     /// The publisher's own list was complete at that time, as its discovery said.
-    pub fn source_heard(&mut self, at: Timestamp) {
-        self.source_heard_at = Some(at);
+    pub fn confirm_source(&mut self, at: Timestamp) {
+        self.source_confirmed_at = Some(at);
     }
 
     /// When the installed version was last known to be the domain's newest.
@@ -118,7 +119,7 @@
     /// How much older than usual the publisher's own list is: a publisher whose discovery is out of reach publishes nothing
     /// new, and those who follow it are to know.
     fn source_age(&self, now: Timestamp) -> Duration {
-        let age = self.source_heard_at.map_or(Duration(0), |at| now - at);
+        let age = self.source_confirmed_at.map_or(Duration(0), |at| now - at);
         Duration(age.0.saturating_sub(DISCOVERY_HEARTBEAT_ALLOWANCE.0))
     }
 
@@ -324,7 +325,7 @@
     }
 
     /// The fence under which it publishes, while it does.
-    pub fn publishes(&self, now: Timestamp) -> Option<u64> {
+    pub fn publishing_fence(&self, now: Timestamp) -> Option<u64> {
         self.publisher.serves(now)
     }
 
--- a/src/fleet/distribution/tests/guards.rs
+++ b/src/fleet/distribution/tests/guards.rs
@@ -25,7 +25,7 @@
     let at = |last: u8| SocketAddr::from(([127, 0, 0, last], 9_000));
     let config = || DistributionConfig {
         role: Role::Subscriber,
-        at: at(1),
+        own_address: at(1),
         interest: Interest::All,
         parents: vec![at(2)],
         replicas: vec![],
--- a/src/fleet/distribution/tests/mod.rs
+++ b/src/fleet/distribution/tests/mod.rs
@@ -159,7 +159,7 @@
         };
         DistributionConfig {
             role,
-            at,
+            own_address: at,
             interest: self.interests.get(&at).cloned().unwrap_or(Interest::All),
             parents,
             replicas: self.replicas.clone(),
--- a/src/fleet/distribution/tests/tree.rs
+++ b/src/fleet/distribution/tests/tree.rs
@@ -63,7 +63,7 @@
     let publisher = domain.replicas[0];
     for _ in 0..10 {
         domain.net.act(publisher, |host, now| {
-            host.node.source_heard(Timestamp(now.0));
+            host.node.confirm_source(Timestamp(now.0));
             vec![]
         });
         domain.pass(1_000);
@@ -76,7 +76,7 @@
     domain.pass(8_000);
     assert!(ages(&domain).iter().all(|age| *age > Duration::millis(7_000)), "{:?}", ages(&domain));
     domain.net.act(publisher, |host, now| {
-        host.node.source_heard(Timestamp(now.0));
+        host.node.confirm_source(Timestamp(now.0));
         vec![]
     });
     domain.pass(2_000);
