--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 
 /// Longest line taken from a worker: a body of 230,000 bytes in base64 with room to spare.
-pub const LINE: usize = 512 << 10;
+pub const MAX_LINE_BYTES: usize = 512 << 10;
 /// Buffers of a connection to a worker: a line, and 4 MiB of commands that wait.
-pub const BUFFER_LIMITS: BufferLimits = BufferLimits { inbox: LINE, outbox: 4 << 20 };
+pub const BUFFER_LIMITS: BufferLimits = BufferLimits { input: MAX_LINE_BYTES, output: 4 << 20 };
 /// Open commands, with those that wait, on one connection.
 const QUEUE: usize = 4096;
 /// For how long the name of an attempt that is over is kept from use on its connection: a late answer may still come.
@@ -46,7 +46,7 @@
 
 /// Figures that all connections to workers share.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// Attempts at a time.
     pub multiplex: usize,
     /// Connections to one worker over which requests are spread, at most.
@@ -55,19 +55,19 @@
     pub idle: Duration,
 }
 
-impl Limits {
+impl ConnectionLimits {
     /// What a site's settings make of them, for the daemon and for clients with a scheduler inside alike.
-    pub fn of(site: &Site) -> Limits {
+    pub fn of(site: &Site) -> ConnectionLimits {
         // Closed before the worker's own limit, or a command could cross its close.
         let idle = site.idle_close.times(0.8);
-        Limits { multiplex: site.multiplex, spread: Pool::share(site.settings.fleet_size), idle }
+        ConnectionLimits { multiplex: site.multiplex, spread: Pool::share(site.settings.fleet_size), idle }
     }
 }
 
 /// A connection to a worker.
 pub struct WorkerConnection {
     codec: Rc<dyn Codec>,
-    limits: Limits,
+    limits: ConnectionLimits,
     pending: VecDeque<Job>,
     open: HashMap<String, Open>,
     names: HashMap<AttemptId, String>,
@@ -94,7 +94,7 @@
 
 impl WorkerConnection {
     /// A connection that is coming up and has failed if it is not up by then.
-    pub fn new(codec: Rc<dyn Codec>, limits: Limits, connect_by: Timestamp) -> WorkerConnection {
+    pub fn new(codec: Rc<dyn Codec>, limits: ConnectionLimits, connect_by: Timestamp) -> WorkerConnection {
         WorkerConnection {
             codec,
             limits,
@@ -124,7 +124,7 @@
     }
 
     /// Writes commands one after another, each once the one before has gone whole, up to the next attempt: that one is
-    /// written by [`Connection::proceed`].
+    /// written by [`Connection::write_next_attempt`].
     fn pump(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.write(false, link, context)
     }
@@ -133,7 +133,7 @@
         if self.cut {
             return self.drop_all(context);
         }
-        while link.is_up() && link.waiting() == 0 {
+        while link.is_connected() && link.unwritten_bytes() == 0 {
             if let Some(Open::Attempt(attempt)) = self.writing.take() {
                 context.core.written(context.now, attempt);
             }
@@ -147,12 +147,12 @@
                         self.drop_attempt(attempt, context);
                         continue;
                     }
-                    link.put(&self.codec.go(&work, context.now, deadline));
+                    link.enqueue(&self.codec.go(&work, context.now, deadline));
                     (self.writing, self.written_at) = (Some(Open::Attempt(attempt)), context.now);
                 }
                 Job::Cancel { attempt } => {
                     if let Some(name) = self.names.remove(&attempt) {
-                        link.put(&self.codec.halt(&name));
+                        link.enqueue(&self.codec.halt(&name));
                     }
                 }
                 Job::Load { load, function, instances } => {
@@ -160,7 +160,7 @@
                         self.drop_load(load, context);
                         continue;
                     }
-                    link.put(&self.codec.stage(&Self::load_name(load), function, instances));
+                    link.enqueue(&self.codec.stage(&Self::load_name(load), function, instances));
                     self.writing = Some(Open::Load(load));
                 }
                 Job::Probe { probe, .. } => {
@@ -168,9 +168,9 @@
                         self.drop_probe(probe, context);
                         continue;
                     }
-                    link.put(&self.codec.probe(&Self::probe_name(probe)));
+                    link.enqueue(&self.codec.probe(&Self::probe_name(probe)));
                 }
-                Job::Unload { function } => link.put(&self.codec.purge(function)),
+                Job::Unload { function } => link.enqueue(&self.codec.purge(function)),
             }
             match link.flush() {
                 Ok(true) => {}
@@ -212,7 +212,7 @@
                 Job::Cancel { .. } | Job::Unload { .. } => {}
             }
         }
-        if self.idle().is_some() { ControlFlow::Close } else { ControlFlow::Continue }
+        if self.idle_since().is_some() { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
     fn line(&mut self, line: &[u8], context: &mut Context) -> ControlFlow {
@@ -273,7 +273,7 @@
     /// The attempt of which a part, or all, still waits in the output buffer.
     fn unsent_attempt(&self, link: &Link) -> Option<AttemptId> {
         match self.writing {
-            Some(Open::Attempt(attempt)) if link.waiting() > 0 => Some(attempt),
+            Some(Open::Attempt(attempt)) if link.unwritten_bytes() > 0 => Some(attempt),
             _ => None,
         }
     }
@@ -287,7 +287,7 @@
     /// command.
     fn take_back(&mut self, attempt: AttemptId, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.writing = None;
-        self.cut = !link.take_back();
+        self.cut = !link.discard_output();
         if let Some(name) = self.names.remove(&attempt) {
             self.attempts -= 1;
             self.open.remove(&name);
@@ -340,25 +340,25 @@
 
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         // A long line comes in many pieces; what has been searched is not searched again.
-        let (mut from, mut searched) = (0, self.searched.min(link.inbox.len()));
-        while let Some(end) = link.inbox[searched..].iter().position(|b| *b == b'\n') {
-            let line = link.inbox[from..searched + end].to_vec();
+        let (mut from, mut searched) = (0, self.searched.min(link.input.len()));
+        while let Some(end) = link.input[searched..].iter().position(|b| *b == b'\n') {
+            let line = link.input[from..searched + end].to_vec();
             from = searched + end + 1;
             searched = from;
             if self.line(&line, context) == ControlFlow::Close {
-                link.close_for(CloseCause::Unreadable);
+                link.set_close_cause(CloseCause::Unreadable);
                 return ControlFlow::Close;
             }
         }
-        link.used(from);
-        if link.inbox.len() > LINE {
-            link.close_for(CloseCause::Unreadable);
+        link.consume(from);
+        if link.input.len() > MAX_LINE_BYTES {
+            link.set_close_cause(CloseCause::Unreadable);
         }
-        if link.inbox.len() > LINE || link.ended {
+        if link.input.len() > MAX_LINE_BYTES || link.peer_closed {
             return ControlFlow::Close;
         }
-        self.searched = link.inbox.len();
-        self.begun = if link.inbox.is_empty() {
+        self.searched = link.input.len();
+        self.begun = if link.input.is_empty() {
             None
         } else {
             // What is left after a complete line has only just begun.
@@ -372,15 +372,15 @@
     }
 
     /// Much may have changed since the command was put in line, so the gates are asked once more.
-    fn unsent(&mut self, link: &mut Link, context: &mut Context) {
+    fn before_first_byte(&mut self, link: &mut Link, context: &mut Context) {
         match self.writing {
             Some(Open::Attempt(attempt)) if !context.core.may_write(context.now, attempt) => {
-                link.take_back();
+                link.discard_output();
                 self.writing = None;
                 self.drop_attempt(attempt, context);
             }
             Some(Open::Load(load)) if !context.core.load_still_allowed(context.now, load) => {
-                link.take_back();
+                link.discard_output();
                 self.writing = None;
                 self.drop_load(load, context);
             }
@@ -406,17 +406,17 @@
             context.core.probe_ended(context.now, probe, Err(broken));
         }
         let late = self.connect_by.into_iter().chain(self.line_by()).any(|by| by <= context.now);
-        let idle = self.idle().is_some_and(|since| since + self.limits.idle <= context.now);
+        let idle = self.idle_since().is_some_and(|since| since + self.limits.idle <= context.now);
         if late || idle {
             let up = self.connect_by.is_none();
             let in_time = if late { CloseCause::Unreadable } else { CloseCause::Idle };
-            link.close_for(if up { in_time } else { CloseCause::NotConnected });
+            link.set_close_cause(if up { in_time } else { CloseCause::NotConnected });
         }
         if late || idle { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
     fn deadline(&self) -> Option<Timestamp> {
-        let idle = self.idle().map(|since| since + self.limits.idle);
+        let idle = self.idle_since().map(|since| since + self.limits.idle);
         let shadow = self.shadows.front().map(|(at, _)| *at + ENDED_NAME_LASTS + Duration(1));
         let probe = self.probe_by.map(|(by, _)| by);
         let due = self.connect_by.into_iter().chain(probe).chain(self.line_by());
@@ -449,7 +449,7 @@
                 continue;
             }
             // Bytes that never left our buffer: the line at the worker has no end, so it cannot have run.
-            let partly = half.as_ref().is_some_and(|half| is(half, open)) && link.waiting() > 0;
+            let partly = half.as_ref().is_some_and(|half| is(half, open)) && link.unwritten_bytes() > 0;
             ends.push((*open, if partly { AttemptProgress::PartlyWritten } else { AttemptProgress::Out }));
         }
         let cause = if up { "connection ended" } else { "no connection" };
@@ -464,7 +464,7 @@
         }
     }
 
-    fn job(&mut self, job: Job, link: &mut Link, context: &mut Context) -> ControlFlow {
+    fn submit_job(&mut self, job: Job, link: &mut Link, context: &mut Context) -> ControlFlow {
         match &job {
             Job::Send { attempt, work, .. } => {
                 self.attempts += 1;
@@ -490,7 +490,7 @@
                     self.writing = None;
                     self.open.remove(&name);
                     self.names.remove(attempt);
-                    self.cut = !link.take_back();
+                    self.cut = !link.discard_output();
                     return self.pump(link, context);
                 }
                 self.shadow(name, context.now);
@@ -506,7 +506,7 @@
         self.pump(link, context)
     }
 
-    fn accepts(&self, reference: Option<&str>) -> bool {
+    fn can_accept(&self, reference: Option<&str>) -> bool {
         let free = reference.is_none_or(|name| !self.open.contains_key(name));
         free && !self.silent
             && !self.cut
@@ -516,20 +516,22 @@
 
     fn next_attempt(&self, link: &Link) -> Option<AttemptId> {
         match self.pending.front() {
-            Some(Job::Send { attempt, .. }) if link.is_up() && link.waiting() == 0 => Some(*attempt),
+            Some(Job::Send { attempt, .. }) if link.is_connected() && link.unwritten_bytes() == 0 => {
+                Some(*attempt)
+            }
             _ => None,
         }
     }
 
-    fn proceed(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
+    fn write_next_attempt(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.write(true, link, context)
     }
 
-    fn load(&self) -> usize {
+    fn open_requests(&self) -> usize {
         self.attempts
     }
 
-    fn idle(&self) -> Option<Timestamp> {
+    fn idle_since(&self) -> Option<Timestamp> {
         let used = self.open.values().any(|open| !matches!(open, Open::Shadow(_)));
         let idle = self.connect_by.is_none() && self.pending.is_empty() && self.writing.is_none() && !used;
         idle.then_some(self.idle_since)
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -8,7 +8,7 @@
 
 pub use crate::request::Job;
 pub use codec::{Codec, ParseError, WorkerReply};
-pub use connection::{BUFFER_LIMITS, LINE, Limits, WorkerConnection};
+pub use connection::{BUFFER_LIMITS, ConnectionLimits, MAX_LINE_BYTES, WorkerConnection};
 pub use pool::{Endpoint, Pool};
 
 use codec::left_ms;
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -1,6 +1,6 @@
 //! Which connections lead to which worker.
 
-use super::{Codec, Job, Limits, WorkerConnection};
+use super::{Codec, ConnectionLimits, Job, WorkerConnection};
 use crate::core::{Command, Core};
 use crate::interface::{Duration, Timestamp, WorkerId};
 use crate::net::Reactor;
@@ -42,7 +42,7 @@
     went: HashMap<AttemptId, u64>,
     json_lines: Rc<dyn Codec>,
     json_rpc: Rc<dyn Codec>,
-    limits: Limits,
+    limits: ConnectionLimits,
     connect_limit: Duration,
     /// Descriptors that connections to workers may take.
     budget: usize,
@@ -52,7 +52,7 @@
 
 impl Pool {
     /// A pool without workers.
-    pub fn new(limits: Limits, connect_limit: Duration, budget: usize) -> Pool {
+    pub fn new(limits: ConnectionLimits, connect_limit: Duration, budget: usize) -> Pool {
         Pool {
             workers: BTreeMap::new(),
             went: HashMap::new(),
@@ -71,13 +71,13 @@
     }
 
     /// New limits. Connections that stand keep the ones they came up with.
-    pub fn configure(&mut self, limits: Limits, connect_limit: Duration, budget: usize) {
+    pub fn configure(&mut self, limits: ConnectionLimits, connect_limit: Duration, budget: usize) {
         (self.limits, self.connect_limit, self.budget) = (limits, connect_limit, budget);
     }
 
     /// The list says where a worker is. A new process has none of the old one's connections: what is open on
     /// them ends by itself, and nothing new goes out there.
-    pub fn place(&mut self, worker: WorkerId, endpoint: Endpoint, started: Option<Timestamp>) {
+    pub fn set_endpoint(&mut self, worker: WorkerId, endpoint: Endpoint, started: Option<Timestamp>) {
         let pooled = self.workers.entry(worker).or_default();
         if pooled.endpoint.as_ref() != Some(&endpoint) || pooled.started != started {
             *pooled = PooledWorker { endpoint: Some(endpoint), started, connections: vec![] };
@@ -103,7 +103,7 @@
     }
 
     /// Carries out what the core wants of a worker.
-    pub fn command(&mut self, command: Command, reactor: &mut Reactor, core: &mut Core) {
+    pub fn execute(&mut self, command: Command, reactor: &mut Reactor, core: &mut Core) {
         match command {
             Command::Send { attempt, worker, work, deadline } => {
                 let connection = self.connection(worker, Some(&work.reference), reactor, core);
@@ -153,12 +153,14 @@
 
     /// Writes an attempt that is next in line on a connection; false where there is none. Its client may have gone or
     /// called it off in what is still unread, however late this loop is, so that is read first.
-    pub fn proceed(&mut self, reactor: &mut Reactor, core: &mut Core) -> bool {
+    pub fn write_next_attempt(&mut self, reactor: &mut Reactor, core: &mut Core) -> bool {
         let Some((connection, attempt)) = reactor.next_attempt() else { return false };
         if let Some(owner) = core.owner(attempt) {
             reactor.catch_up(owner.connection, core);
         }
-        reactor.with(connection, core, |object, link, context| object.proceed(link, context));
+        reactor.with_connection(connection, core, |object, link, context| {
+            object.write_next_attempt(link, context)
+        });
         true
     }
 
@@ -174,9 +176,10 @@
         // Clients may hold a third of the descriptors; what is left after them is for all workers alike.
         self.spread = (self.budget * 2 / 3 / self.workers.len().max(1)).clamp(1, self.limits.spread);
         let pooled = self.workers.get_mut(&worker)?;
-        pooled.connections.retain(|id| reactor.look(*id, |_| ()).is_some());
+        pooled.connections.retain(|id| reactor.inspect(*id, |_| ()).is_some());
         let load = |id: &u64| {
-            let load = reactor.look(*id, |connection| connection.accepts(name).then(|| connection.load()));
+            let load = reactor
+                .inspect(*id, |connection| connection.can_accept(name).then(|| connection.open_requests()));
             load.flatten().map(|load| (load, *id))
         };
         let least = pooled.connections.iter().filter_map(load).min();
@@ -187,7 +190,7 @@
             return Some(id);
         }
         if pooled.connections.len() >= PER_WORKER
-            || reactor.count() >= self.budget && !reactor.shed_idle(core)
+            || reactor.count() >= self.budget && !reactor.close_longest_idle(core)
         {
             return None;
         }
@@ -205,14 +208,15 @@
     /// Drops notes of attempts whose connections have gone or that are long over.
     fn forget_ended(&mut self, reactor: &Reactor) {
         if self.went.len() > 8192 {
-            self.went
-                .retain(|_, id| reactor.look(*id, |connection| connection.idle().is_none()).unwrap_or(false));
+            self.went.retain(|_, id| {
+                reactor.inspect(*id, |connection| connection.idle_since().is_none()).unwrap_or(false)
+            });
         }
     }
 }
 
 fn give(connection: u64, job: Job, reactor: &mut Reactor, core: &mut Core) {
-    reactor.with(connection, core, |object, link, context| object.job(job, link, context));
+    reactor.with_connection(connection, core, |object, link, context| object.submit_job(job, link, context));
 }
 
 #[cfg(test)]
--- a/src/client.rs
+++ b/src/client.rs
@@ -59,7 +59,7 @@
 //! # Ok::<(), std::io::Error>(())
 //! ```
 
-use crate::backend::{Endpoint, Limits, Pool};
+use crate::backend::{ConnectionLimits, Endpoint, Pool};
 use crate::chain::{Chain, End, Step};
 use crate::core::{Answer, Command, Core, Counters, IncomingRequest, Owner};
 use crate::interface::{Duration, FunctionId, ListKind, Member, State, Timestamp};
@@ -123,7 +123,7 @@
     /// The system gives no poll or no clock.
     pub fn new(site: Site, seed: u64) -> io::Result<Client> {
         let reactor = Reactor::new(SystemClock::new())?;
-        let pool = Pool::new(Limits::of(&site), site.connect_limit, CONNECTIONS);
+        let pool = Pool::new(ConnectionLimits::of(&site), site.connect_limit, CONNECTIONS);
         let salt = (seed ^ seed >> 32) as u32 ^ std::process::id();
         Ok(Client {
             core: Core::new(site, seed),
@@ -146,7 +146,7 @@
         let listed = |worker| list.iter().any(|(m, _)| m.worker == worker && m.state != State::Gone);
         self.pool.retain(listed);
         for (member, endpoint) in list.iter().filter(|(m, _)| m.state != State::Gone) {
-            self.pool.place(member.worker, endpoint.clone(), member.started);
+            self.pool.set_endpoint(member.worker, endpoint.clone(), member.started);
         }
         let members = list.into_iter().map(|(member, _)| member).collect();
         self.core.members(self.reactor.now(), ListKind::Full, members);
@@ -238,8 +238,8 @@
                     self.answers.push((RequestHandle(owner.stream), answer));
                 }
                 Some(Command::Chain { owner, end }) => self.ends.push((RequestHandle(owner.stream), end)),
-                Some(command) => self.pool.command(command, &mut self.reactor, &mut self.core),
-                None if self.pool.proceed(&mut self.reactor, &mut self.core) => {}
+                Some(command) => self.pool.execute(command, &mut self.reactor, &mut self.core),
+                None if self.pool.write_next_attempt(&mut self.reactor, &mut self.core) => {}
                 None => return,
             }
         }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -139,7 +139,7 @@
 }
 
 fn default_line() -> usize {
-    crate::front::jsonrpc::LINE
+    crate::front::jsonrpc::DEFAULT_MAX_LINE_BYTES
 }
 
 fn read_mode<'de, D: serde::Deserializer<'de>>(from: D) -> Result<u32, D::Error> {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -17,7 +17,7 @@
 use crate::front::socket::{self, SocketFile};
 use crate::handover;
 use crate::interface::{Duration, ListKind, Member, Timestamp};
-use crate::net::{Reactor, Signal, SystemClock, inherit, retry_while_momentary};
+use crate::net::{Reactor, SystemClock, Wakeup, inherit, retry_while_transient};
 use crate::start_times::StartTimes;
 use crate::vrrp::Event;
 use accept::AcceptAgain;
@@ -113,7 +113,7 @@
 /// A file cannot be read or used, or an address or descriptor cannot be had; the text says which.
 pub fn start(sources: Sources) -> Result<(), String> {
     // First of all: a signal that comes while the files are read would end the process.
-    let signals = retry_while_momentary(Signals::new).map_err(|e| format!("cannot serve: {e}"))?;
+    let signals = retry_while_transient(Signals::new).map_err(|e| format!("cannot serve: {e}"))?;
     let name = std::env::var("GW_NAME").unwrap_or_default();
     let (config, operator) = upgrade::fall_back(&sources, &name)?;
     let served = Daemon::new(config, operator, sources, signals).and_then(|mut daemon| daemon.serve());
@@ -123,12 +123,12 @@
 /// The clients' listener: of the configuration's address, or the one that the platform has passed on.
 fn listen_for_clients(sources: &Sources, config: &mut Config, reactor: &mut Reactor) -> io::Result<usize> {
     let (listener, own) = match sources.passed {
-        None => retry_while_momentary(|| reactor.listen(config.listen))?,
+        None => retry_while_transient(|| reactor.listen(config.listen))?,
         Some(number) => {
             let odd = |e: io::Error| {
                 io::Error::new(e.kind(), format!("GW_PASSED_SOCKET names descriptor {number}: {e}"))
             };
-            reactor.listen_shared(retry_while_momentary(|| inherit::listener(number)).map_err(odd)?)?
+            reactor.listen_shared(retry_while_transient(|| inherit::listener(number)).map_err(odd)?)?
         }
     };
     config.listen = own;
@@ -138,7 +138,7 @@
 /// The listener of the second address, where the configuration names one.
 fn listen_for_operators(config: &mut Config, reactor: &mut Reactor) -> io::Result<Option<usize>> {
     let Some(at) = &mut config.mgmt else { return Ok(None) };
-    let (listener, own) = retry_while_momentary(|| reactor.listen(*at))?;
+    let (listener, own) = retry_while_transient(|| reactor.listen(*at))?;
     *at = own;
     Ok(Some(listener))
 }
@@ -162,26 +162,26 @@
         let rpc = match operator.jsonrpc.as_ref().filter(|_| !upgrading) {
             None => None,
             Some(front) => {
-                let (listener, file) = retry_while_momentary(|| socket::bind(&front.socket, front.mode))?;
+                let (listener, file) = retry_while_transient(|| socket::bind(&front.socket, front.mode))?;
                 Some((reactor.listen_unix(listener)?, file))
             }
         };
         let router = match operator.vrrp.as_ref().filter(|_| !upgrading) {
             None => None,
-            Some(setting) => Some(retry_while_momentary(|| Router::new(setting, reactor))?),
+            Some(setting) => Some(retry_while_transient(|| Router::new(setting, reactor))?),
         };
         let fleet = match operator.fleet.as_ref().filter(|_| !upgrading) {
             None => None,
             Some(setting) => {
                 let publishes = operator.publishes();
-                Some(retry_while_momentary(|| fleet::Member::new(setting, publishes, config, reactor))?)
+                Some(retry_while_transient(|| fleet::Member::new(setting, publishes, config, reactor))?)
             }
         };
         let mut distribution = operator.distribution.as_ref().map(|_| Distribution::new(config));
         if let (Some(distribution), Some(setting), false) =
             (&mut distribution, &operator.distribution, upgrading)
         {
-            retry_while_momentary(|| distribution.join(setting, config, reactor))?;
+            retry_while_transient(|| distribution.join(setting, config, reactor))?;
         }
         Ok(OperatorParts { rpc, router, fleet, distribution })
     }
@@ -193,9 +193,9 @@
             (None, None) => SystemClock::new(),
             _ => SystemClock::counting_sleep(),
         };
-        let mut reactor = retry_while_momentary(|| Reactor::new(clock))?;
+        let mut reactor = retry_while_transient(|| Reactor::new(clock))?;
         let Signals { end, print, reload } = signals;
-        let (read, done) = retry_while_momentary(UnixStream::pair)?;
+        let (read, done) = retry_while_transient(UnixStream::pair)?;
         let pipes =
             Pipes { end: reactor.watch(end)?, print: reactor.watch(print)?, reload: reactor.watch(reload)? };
         reactor.watch(read)?;
@@ -212,7 +212,7 @@
         let mut pool = Pool::new(limits, connect, descriptors(&config));
         let mut fixed = Vec::new();
         for (member, path) in operator.members(&config.site) {
-            pool.place(member.worker, backend::Endpoint::Unix(path), None);
+            pool.set_endpoint(member.worker, backend::Endpoint::Unix(path), None);
             fixed.push(member);
         }
         let received_events =
@@ -271,7 +271,7 @@
             if let Some(why) = self.upgrade.as_ref().and_then(|upgrade| upgrade.failed) {
                 return Err(io::Error::other(why));
             }
-            if self.ended() && (self.reactor.is_quiet() || self.overdue()) {
+            if self.ended() && (self.reactor.last_poll_was_empty() || self.overdue()) {
                 self.print();
                 info!(name = %self.config.name, "ended");
                 return Ok(());
@@ -311,18 +311,18 @@
         timeouts.into_iter().flatten().chain(accepts).min()
     }
 
-    fn handle_signal(&mut self, signal: Signal) {
+    fn handle_signal(&mut self, signal: Wakeup) {
         match signal {
-            Signal::Client(listener) => self.accept(listener),
-            Signal::Pipe(pipe) if pipe == self.pipes.end => self.begin_end(),
-            Signal::Pipe(pipe) if pipe == self.pipes.print => self.print(),
-            Signal::Pipe(pipe) if pipe == self.pipes.reload => self.reload(),
-            Signal::Pipe(_) => self.reloaded(),
-            Signal::Datagram(socket) if self.is_fleet(socket) => self.receive_fleet_datagrams(),
-            Signal::Datagram(socket) if self.is_distribution(socket) => {
+            Wakeup::Client(listener) => self.accept(listener),
+            Wakeup::Pipe(pipe) if pipe == self.pipes.end => self.begin_end(),
+            Wakeup::Pipe(pipe) if pipe == self.pipes.print => self.print(),
+            Wakeup::Pipe(pipe) if pipe == self.pipes.reload => self.reload(),
+            Wakeup::Pipe(_) => self.reloaded(),
+            Wakeup::Datagram(socket) if self.is_fleet(socket) => self.receive_fleet_datagrams(),
+            Wakeup::Datagram(socket) if self.is_distribution(socket) => {
                 self.receive_distribution_datagrams();
             }
-            Signal::Datagram(socket) => self.receive_datagrams(socket),
+            Wakeup::Datagram(socket) => self.receive_datagrams(socket),
         }
     }
 
@@ -365,21 +365,25 @@
         }
         loop {
             let Some(command) = self.core.next_command() else {
-                if self.pool.proceed(&mut self.reactor, &mut self.core) {
+                if self.pool.write_next_attempt(&mut self.reactor, &mut self.core) {
                     continue;
                 }
                 return;
             };
             match command {
                 Command::Answer { owner, answer } => {
-                    self.reactor.with(owner.connection, &mut self.core, |connection, link, context| {
-                        connection.answer(owner.stream, &answer, link, context)
-                    });
+                    self.reactor.with_connection(
+                        owner.connection,
+                        &mut self.core,
+                        |connection, link, context| connection.answer(owner.stream, &answer, link, context),
+                    );
                 }
                 Command::Chain { owner, end } => {
-                    self.reactor.with(owner.connection, &mut self.core, |connection, link, context| {
-                        connection.chain_ended(owner.stream, &end, link, context)
-                    });
+                    self.reactor.with_connection(
+                        owner.connection,
+                        &mut self.core,
+                        |connection, link, context| connection.chain_ended(owner.stream, &end, link, context),
+                    );
                 }
                 Command::PublishHealth { worker, answers } => {
                     let (topic, update) = (GossipTopic::Worker(worker.0), GossipUpdate::Answers(answers));
@@ -389,7 +393,7 @@
                     let worker = worker.0;
                     self.upgrade(handover::HandoverInput::CordonChanged { worker, cordoned });
                 }
-                command => self.pool.command(command, &mut self.reactor, &mut self.core),
+                command => self.pool.execute(command, &mut self.reactor, &mut self.core),
             }
         }
     }
@@ -405,7 +409,7 @@
 fn limit_memory(config: &Config, share: usize, core: &mut Core, reactor: &mut Reactor) {
     let memory = (config.memory_mb << 20) / share;
     core.limit_memory(memory);
-    reactor.waiting_limit = memory / 6;
+    reactor.max_unwritten_bytes = memory / 6;
 }
 
 /// Descriptors that connections may take where no other process shares them.
@@ -414,9 +418,9 @@
 }
 
 /// What the configuration lets connections to workers take.
-fn worker_limits(config: &Config) -> (backend::Limits, Duration) {
+fn worker_limits(config: &Config) -> (backend::ConnectionLimits, Duration) {
     let site = &config.site;
-    let limits = backend::Limits::of(site);
+    let limits = backend::ConnectionLimits::of(site);
     // The platform allows connects 50 ms more than the simulator does.
     let connect = Duration(site.connect_limit.0 + Duration::millis(50).0);
     (limits, connect)
--- a/src/daemon/accept.rs
+++ b/src/daemon/accept.rs
@@ -90,7 +90,7 @@
     /// Comes back to a listener after a while. Those that wait there may have done so since it was asked first.
     fn accept_again(&mut self, listener: usize, pause: Duration) {
         let now = self.reactor.now();
-        let (due, since) = (now + pause, self.reactor.told_since());
+        let (due, since) = (now + pause, self.reactor.arrival_bound());
         self.accept_again.insert(listener, AcceptAgain { due, since });
     }
 
@@ -101,7 +101,7 @@
             warn!(why = %error, "accept failed");
         }
         if *failure == AcceptFailure::NoRoom {
-            self.reactor.shed_idle(&mut self.core);
+            self.reactor.close_longest_idle(&mut self.core);
         }
     }
 
@@ -114,7 +114,7 @@
         let due: Vec<(usize, ClockReading)> = self.accept_again.iter().filter_map(due).collect();
         for (listener, since) in due {
             self.accept_again.remove(&listener);
-            self.reactor.waits_since(since);
+            self.reactor.lower_arrival_bound(since);
             self.accept(listener);
         }
     }
@@ -129,7 +129,7 @@
         // Clients hold a third of the descriptors at most; what workers need is kept free.
         let budget = self.descriptors();
         let room = self.reactor.count() < budget - budget / 8;
-        if room || self.reactor.shed_idle(&mut self.core) {
+        if room || self.reactor.close_longest_idle(&mut self.core) {
             return self.admit_client(listener, stream);
         }
         if self.core.may_log(self.reactor.now()) {
@@ -143,18 +143,18 @@
             return self.admit_rpc(now, stream);
         }
         let connection = Box::new(FrameConnection::new(now));
-        self.reactor.add(stream, connection, true, frames::LIMITS, &mut self.core);
+        self.reactor.add(stream, connection, true, frames::BUFFER_LIMITS, &mut self.core);
     }
 
     /// Operators at the second address come in whatever clients do, for their descriptors are reserved. Where all
     /// places are taken, whoever came first and has completed nothing yet makes room.
     fn accept_operator(&mut self, stream: Stream) {
         let reactor = &self.reactor;
-        self.operator_connections.retain(|id| reactor.look(*id, |_| ()).is_some());
+        self.operator_connections.retain(|id| reactor.inspect(*id, |_| ()).is_some());
         if self.operator_connections.len() >= ops::OPERATOR_CONNECTIONS
             && let Some(first) = self.operator_connections.pop_front()
         {
-            self.reactor.end(first, &mut self.core);
+            self.reactor.close_replaced(first, &mut self.core);
         }
         let connection = Box::new(MgmtConnection::new(self.reactor.now()));
         self.operator_connections.extend(self.reactor.add(
@@ -169,12 +169,12 @@
     fn admit_rpc(&mut self, now: Timestamp, stream: Stream) {
         let Some(front) = &self.operator.jsonrpc else { return };
         let reactor = &mut self.reactor;
-        self.rpc_clients.retain(|id| reactor.look(*id, |_| ()).is_some());
+        self.rpc_clients.retain(|id| reactor.inspect(*id, |_| ()).is_some());
         if self.rpc_clients.len() >= front.max_clients {
             // The one that has held its place longest without anything open makes room, if there is one.
-            let idle = |id: &u64| Some((reactor.look(*id, |connection| connection.idle())??, *id));
+            let idle = |id: &u64| Some((reactor.inspect(*id, |connection| connection.idle_since())??, *id));
             if let Some((_, id)) = self.rpc_clients.iter().filter_map(idle).min() {
-                reactor.end(id, &mut self.core);
+                reactor.close_replaced(id, &mut self.core);
                 self.rpc_clients.remove(&id);
             }
         }
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -46,7 +46,7 @@
                 stream,
                 connection,
                 false,
-                BufferLimits { inbox: discovery::MAX_FRAME_LENGTH + 4, outbox: 4096 },
+                BufferLimits { input: discovery::MAX_FRAME_LENGTH + 4, output: 4096 },
                 &mut self.core,
             )
         });
@@ -93,7 +93,7 @@
         } else {
             self.starts.begin_with(clocks, member.worker, member.started)
         };
-        self.pool.place(member.worker, Endpoint::Tcp(address), member.started);
+        self.pool.set_endpoint(member.worker, Endpoint::Tcp(address), member.started);
     }
 
     /// Discovery has another address: the old one tells nothing more. The new one is asked at once, from the
@@ -106,7 +106,7 @@
         self.received_events =
             Rc::new(RefCell::new(ReceivedEvents { events, offset, down: true, ..ReceivedEvents::default() }));
         if let Some(id) = self.discovery_connection.take() {
-            self.reactor.end(id, &mut self.core);
+            self.reactor.close_replaced(id, &mut self.core);
         }
         self.next_discovery_attempt = Some(now);
     }
--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -12,7 +12,7 @@
 use crate::fleet::message::{self, LARGEST};
 use crate::fleet::{Process, lease::LeaseGrant};
 use crate::interface::{Duration, ListKind, Member, State, Timestamp, WorkerId, ZoneId};
-use crate::net::{DATAGRAMS, Reactor, is_momentary};
+use crate::net::{MAX_DATAGRAMS_PER_TURN, Reactor, is_transient};
 use classes::{ClassCheck, Classes, NoCheck};
 use publisher::{Next, Publisher};
 use serde_json::Value as Json;
@@ -163,7 +163,7 @@
         distribution.again = None;
         match distribution.join(setting, &self.config, &mut self.reactor) {
             Ok(()) => self.distribute(DistributionInput::Timer),
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse || is_momentary(&e) => {
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse || is_transient(&e) => {
                 distribution.again = Some(now + BIND_RETRY_INTERVAL);
             }
             Err(why) => warn!(%why, "upgrade no distribution"),
@@ -183,11 +183,11 @@
     /// Receives pending datagrams.
     pub(super) fn receive_distribution_datagrams(&mut self) {
         let mut bytes = [0; LARGEST + 1];
-        for _ in 0..DATAGRAMS {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some((socket, domain)) = self.place().map(|place| (place.socket, place.domain)) else {
                 return;
             };
-            let Some((size, from)) = self.reactor.datagram(socket, &mut bytes) else { return };
+            let Some((size, from)) = self.reactor.receive_datagram(socket, &mut bytes) else { return };
             match distribution::read(domain, &bytes[..size]) {
                 Ok((_, messages)) => {
                     self.distribute(DistributionInput::Received { from, messages: &messages });
--- a/src/daemon/fleet.rs
+++ b/src/daemon/fleet.rs
@@ -8,7 +8,7 @@
 use crate::fleet::overload;
 use crate::fleet::{FleetConfig, FleetInput, FleetNode, FleetOutput, Process};
 use crate::interface::{Duration, Task, Timestamp, WorkerId};
-use crate::net::{DATAGRAMS, Reactor, is_momentary};
+use crate::net::{MAX_DATAGRAMS_PER_TURN, Reactor, is_transient};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -128,7 +128,7 @@
                 self.fleet = Some(member);
                 self.join_fleet();
             }
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse || is_momentary(&e) => {
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse || is_transient(&e) => {
                 self.fleet_again = Some(now + BIND_RETRY_INTERVAL);
             }
             Err(why) => warn!(%why, "upgrade no fleet"),
@@ -164,9 +164,9 @@
     /// time no earlier than it was sent, however long this process was suspended in between.
     pub(super) fn receive_fleet_datagrams(&mut self) {
         let mut bytes = [0; LARGEST + 1];
-        for _ in 0..DATAGRAMS {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some(member) = &self.fleet else { return };
-            let Some((size, from)) = self.reactor.datagram(member.socket, &mut bytes) else { return };
+            let Some((size, from)) = self.reactor.receive_datagram(member.socket, &mut bytes) else { return };
             self.fleet(FleetInput::Datagram(&bytes[..size], from));
         }
         if let Some(member) = &self.fleet {
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -164,7 +164,7 @@
             }
         };
         if let Some((listener, _)) = std::mem::replace(&mut self.rpc, new) {
-            self.reactor.unlisten(listener);
+            self.reactor.close_listener(listener);
         }
         Ok(())
     }
@@ -172,7 +172,7 @@
     fn replace_checkers(&mut self, now: Timestamp) {
         let old = std::mem::take(&mut self.fixed);
         for (member, path) in self.operator.members(&self.config.site) {
-            self.pool.place(member.worker, backend::Endpoint::Unix(path), None);
+            self.pool.set_endpoint(member.worker, backend::Endpoint::Unix(path), None);
             self.fixed.push(member);
         }
         let left = old.into_iter().filter(|o| !self.fixed.iter().any(|n| n.worker == o.worker));
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -3,7 +3,7 @@
 use super::Daemon;
 use crate::config;
 use crate::interface::{Duration, Timestamp};
-use crate::net::{DATAGRAMS, Reactor};
+use crate::net::{MAX_DATAGRAMS_PER_TURN, Reactor};
 use crate::vrrp::packet::{Advertisement, LARGEST};
 use crate::vrrp::{self, Event};
 use std::io;
@@ -58,8 +58,8 @@
 
     pub(super) fn receive_datagrams(&mut self, socket: usize) {
         let mut bytes = [0; LARGEST + 1];
-        for _ in 0..DATAGRAMS {
-            let Some((size, from)) = self.reactor.datagram(socket, &mut bytes) else { return };
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            let Some((size, from)) = self.reactor.receive_datagram(socket, &mut bytes) else { return };
             let Some(router) = &self.router else { return };
             let read = if router.setting.peers.contains(&from) {
                 Advertisement::read(&bytes[..size])
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -78,8 +78,9 @@
 
     fn leave_all(&mut self) {
         for id in self.reactor.ids() {
-            self.reactor
-                .with(id, &mut self.core, |connection, link, context| connection.leave(link, context));
+            self.reactor.with_connection(id, &mut self.core, |connection, link, context| {
+                connection.send_leave(link, context)
+            });
         }
     }
 
@@ -111,8 +112,8 @@
     pub(super) fn ended(&self) -> bool {
         let Some(times) = self.ending else { return false };
         let now = self.reactor.now();
-        let written = !self.reactor.unwritten() || self.overdue();
-        let reading = self.yielded() && self.reactor.begun() && now < times.since + LAST_READ;
+        let written = !self.reactor.has_unwritten_output() || self.overdue();
+        let reading = self.yielded() && self.reactor.may_receive_request() && now < times.since + LAST_READ;
         let accepted = self.accept_again.is_empty() || self.overdue();
         now >= times.end_at && self.core.outstanding() == 0 && written && accepted && !reading
     }
--- a/src/daemon/upgrade.rs
+++ b/src/daemon/upgrade.rs
@@ -10,7 +10,7 @@
     self, HandoverError, HandoverInput, HandoverOutput, HandoverState, InputQueue, PeerConnection,
 };
 use crate::interface::{Duration, ListKind, Member, Timestamp, WorkerId};
-use crate::net::{ClockReading, ControlFlow, Stream, is_momentary, retry_while_momentary};
+use crate::net::{ClockReading, ControlFlow, Stream, is_transient, retry_while_transient};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
 use std::io;
@@ -100,7 +100,7 @@
         upgrade.cap = match (share, held) {
             (1, _) => None,
             (_, 0) => {
-                while self.reactor.count() > all / 2 && self.reactor.shed_idle(&mut self.core) {}
+                while self.reactor.count() > all / 2 && self.reactor.close_longest_idle(&mut self.core) {}
                 let least = self.reactor.count() + SPARE;
                 Some(upgrade.cap.map_or(least, |cap| cap.min(least)))
             }
@@ -124,7 +124,7 @@
     /// A process that comes to meet this one; one too many finds its connection closed.
     pub(super) fn admit_peer(&mut self, stream: Stream) {
         let Some(upgrade) = &mut self.upgrade else { return };
-        upgrade.peers.retain(|id| self.reactor.look(*id, |_| ()).is_some());
+        upgrade.peers.retain(|id| self.reactor.inspect(*id, |_| ()).is_some());
         if upgrade.peers.len() >= PEERS {
             return;
         }
@@ -154,7 +154,7 @@
                 let stream = match self.reactor.connect_unix(&upgrade.path) {
                     Ok(stream) => stream,
                     // What the old one knows must not be lost for a moment without sockets.
-                    Err(e) if is_momentary(&e) => return Some(HandoverInput::ConnectFailed),
+                    Err(e) if is_transient(&e) => return Some(HandoverInput::ConnectFailed),
                     // Nobody listens, or nobody can under such a name.
                     Err(_) => return Some(HandoverInput::NoPeer),
                 };
@@ -190,7 +190,7 @@
             }
             HandoverOutput::Disconnect(peer, reason) => {
                 warn!(why = reason.as_str(), "upgrade peer dropped");
-                self.reactor.end(peer, &mut self.core);
+                self.reactor.close_replaced(peer, &mut self.core);
             }
             HandoverOutput::Fail(error) => upgrade.failed = Some(error),
         }
@@ -199,8 +199,8 @@
 
     fn send_to_peer(&mut self, peer: u64, message: &Message) {
         let bytes = message::write(message);
-        self.reactor.with(peer, &mut self.core, |_, link, _| {
-            link.put(&bytes);
+        self.reactor.with_connection(peer, &mut self.core, |_, link, _| {
+            link.enqueue(&bytes);
             ControlFlow::Continue
         });
     }
@@ -226,7 +226,7 @@
     /// have waited: what they have asked for counts as late.
     fn accept_waiting_clients(&mut self) {
         if self.upgrade.as_ref().is_some_and(|upgrade| !upgrade.machine.has_older_process()) {
-            self.reactor.waits_since(ClockReading::UNKNOWN);
+            self.reactor.lower_arrival_bound(ClockReading::UNKNOWN);
             self.accept(self.listener.0);
         }
     }
@@ -328,9 +328,9 @@
     }
 
     fn set_accepting(&mut self, open: bool) {
-        if self.listener.1 != open && self.reactor.take_from(self.listener.0, open).is_ok() {
+        if self.listener.1 != open && self.reactor.set_accepting(self.listener.0, open).is_ok() {
             self.listener.1 = open;
-            self.reactor.open = open;
+            self.reactor.accepting = open;
             self.give_fleet(open);
             self.give_distribution(open);
         }
@@ -396,7 +396,7 @@
             let Some(member) = self.core.listed(worker).filter(|_| here == Some(reported)) else { continue };
             let member = Member { started: Some(now - age), ..*member };
             if let Some(address) = self.pool.address(worker) {
-                self.pool.place(worker, Endpoint::Tcp(address), member.started);
+                self.pool.set_endpoint(worker, Endpoint::Tcp(address), member.started);
             }
             changed.push(member);
         }
@@ -410,7 +410,7 @@
 /// new version may come while a broken one is in place.
 pub(super) fn fall_back(sources: &Sources, name: &str) -> Result<(Config, Operator), ConfigError> {
     let read = sources.read();
-    let serves = || retry_while_momentary(|| UnixStream::connect(meeting_place(name))).is_ok();
+    let serves = || retry_while_transient(|| UnixStream::connect(meeting_place(name))).is_ok();
     let kept = || {
         let text = std::fs::read(kept_place(name)).ok()?;
         let kept = config::read(&text).ok()?;
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -252,7 +252,7 @@
 fn close_unreadable(error: DiscoveryError, link: &mut Link, context: &mut Context) -> ControlFlow {
     context.core.counters().unreadable += 1;
     tracing::warn!(why = error.as_str(), "discovery unreadable");
-    link.close_for(CloseCause::Unreadable);
+    link.set_close_cause(CloseCause::Unreadable);
     ControlFlow::Close
 }
 
@@ -263,7 +263,7 @@
 
     fn opened(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.silent_at = context.now + SILENCE_TIMEOUT;
-        link.put(&self.received_events.borrow().offset.to_be_bytes());
+        link.enqueue(&self.received_events.borrow().offset.to_be_bytes());
         context.core.discovery_resubscribed(context.now);
         ControlFlow::Continue
     }
@@ -271,11 +271,11 @@
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         let mut read = 0;
         loop {
-            match read_frame(&link.inbox[read..]) {
+            match read_frame(&link.input[read..]) {
                 Ok(None) => break,
                 Ok(Some((event, size))) => {
                     read += size;
-                    let arrived = link.arrived(link.inbox.len() - read);
+                    let arrived = link.arrived(link.input.len() - read);
                     if let Err(error) = self.take_frame(event, arrived, context.now) {
                         return close_unreadable(error, link, context);
                     }
@@ -283,17 +283,21 @@
                 Err(error) => return close_unreadable(error, link, context),
             }
         }
-        link.used(read);
+        link.consume(read);
         if read > 0 {
-            context.core.discovery_received(context.now, link.arrived(link.inbox.len()));
+            context.core.discovery_received(context.now, link.arrived(link.input.len()));
         }
-        if link.ended { ControlFlow::Close } else { ControlFlow::Continue }
+        if link.peer_closed { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
     fn on_timeout(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         if self.silent_at <= context.now {
             tracing::warn!("discovery silent");
-            link.close_for(if link.is_up() { CloseCause::Silent } else { CloseCause::NotConnected });
+            link.set_close_cause(if link.is_connected() {
+                CloseCause::Silent
+            } else {
+                CloseCause::NotConnected
+            });
             return ControlFlow::Close;
         }
         ControlFlow::Continue
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -95,7 +95,7 @@
     let near = reactor.connect(listener.local_addr().unwrap()).unwrap();
     let (mut far, _) = listener.accept().unwrap();
     let received = Rc::new(RefCell::new(ReceivedEvents::default()));
-    let limits = crate::net::BufferLimits { inbox: MAX_FRAME_LENGTH + 4, outbox: 4096 };
+    let limits = crate::net::BufferLimits { input: MAX_FRAME_LENGTH + 4, output: 4096 };
     let connection = Box::new(DiscoveryConnection::new(received.clone(), reactor.now()));
     reactor.add(near, connection, false, limits, &mut core).unwrap();
     for _ in 0..3 {
--- a/src/front/frames.rs
+++ b/src/front/frames.rs
@@ -1,6 +1,9 @@
 //! The platform's front: binary frames over TCP. A pure codec, and the connection object over it.
 
-use super::{BODY, LINGER, OPEN, OUTBOX, TRANSIT, WHOLE, read_function};
+use super::{
+    ANSWER_TRANSIT_TIME, LINGER_TIMEOUT, MAX_BODY_BYTES, MAX_OPEN_REQUESTS, MAX_UNREAD_OUTPUT_BYTES,
+    MESSAGE_TIMEOUT, read_function,
+};
 use crate::core::{Answer, IncomingRequest, Owner, Verdict};
 use crate::interface::{Duration, FunctionId, Timestamp};
 use crate::net::{BufferLimits, Connection, Context, ControlFlow, Link};
@@ -8,17 +11,18 @@
 use std::collections::BTreeSet;
 
 /// Largest length field.
-pub const FRAME: usize = 262_144;
+pub const MAX_FRAME_LENGTH: usize = 262_144;
 /// Largest length of a frame that can be of use: a body and its fields. A longer one is not kept, for hundreds
 /// of connections may bring one each: its request has failed once its head is known, and the rest is passed over.
-pub const USABLE: usize = 32 << 10;
+pub const MAX_USABLE_FRAME_LENGTH: usize = 32 << 10;
 /// Buffers of a client's connection: a usable frame, and output that waits.
-pub const LIMITS: BufferLimits = BufferLimits { inbox: USABLE + 4, outbox: OUTBOX };
+pub const BUFFER_LIMITS: BufferLimits =
+    BufferLimits { input: MAX_USABLE_FRAME_LENGTH + 4, output: MAX_UNREAD_OUTPUT_BYTES };
 /// A connection on which nothing is open and nothing comes is closed after this. Clients close theirs after
 /// 4 s, so no request crosses it.
-pub const IDLE: Duration = Duration::millis(5_000);
+pub const IDLE_TIMEOUT: Duration = Duration::millis(5_000);
 /// The same for one that has never sent a whole frame: some clients open connections by hundreds and send nothing.
-pub const FIRST: Duration = Duration::millis(2_600);
+pub const FIRST_FRAME_TIMEOUT: Duration = Duration::millis(2_600);
 
 /// Types of frames.
 pub mod kinds {
@@ -64,7 +68,7 @@
 pub fn read_frame(bytes: &[u8]) -> Result<Option<(Frame<'_>, usize)>, &'static str> {
     let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if !(5..=FRAME).contains(&length) {
+    if !(5..=MAX_FRAME_LENGTH).contains(&length) {
         return Err("length out of range");
     }
     let Some(rest) = bytes.get(4..4 + length) else { return Ok(None) };
@@ -155,7 +159,7 @@
     let digits = allow.bytes().all(|b| b.is_ascii_digit());
     let allow =
         allow.parse::<u64>().ok().filter(|_| digits).ok_or(RequestError::Unusable("allow is no number"))?;
-    if body.len() > BODY {
+    if body.len() > MAX_BODY_BYTES {
         return Err(RequestError::Unusable("body too large"));
     }
     let (mut memory_mb, mut concurrency, mut load_time) = (0.0, 1.0, None);
@@ -172,7 +176,8 @@
             _ => {}
         }
     }
-    let deadline = arrived + Duration((allow.min(3_600_000) * 1_000_000).saturating_sub(TRANSIT.0));
+    let deadline =
+        arrived + Duration((allow.min(3_600_000) * 1_000_000).saturating_sub(ANSWER_TRANSIT_TIME.0));
     Ok(IncomingRequest {
         owner,
         reference: reference.to_owned(),
@@ -283,7 +288,7 @@
                     other => other,
                 };
                 let (class, verdict) = match call {
-                    Ok(call) if self.open.len() >= OPEN => {
+                    Ok(call) if self.open.len() >= MAX_OPEN_REQUESTS => {
                         (Some(call.class), Verdict::Refused { cooldown: context.core.default_cooldown() })
                     }
                     Ok(call) => {
@@ -296,7 +301,7 @@
                 context.core.count_rejected_by_listener(class.as_deref(), &verdict);
                 let mut bytes = Vec::new();
                 put_answer(frame.stream, &verdict, &mut bytes);
-                link.put(&bytes);
+                link.enqueue(&bytes);
             }
             kinds::CANCEL => {
                 if self.open.remove(&frame.stream) {
@@ -309,7 +314,7 @@
                 let code = if context.ready { codes::SERVED } else { codes::REFUSED };
                 let mut bytes = Vec::new();
                 put_frame(kinds::READINESS, frame.stream, &[&[code, 0]], &mut bytes);
-                link.put(&bytes);
+                link.enqueue(&bytes);
             }
             _ => return Err("unknown type"),
         }
@@ -326,7 +331,7 @@
     ) -> Result<usize, &'static str> {
         let Some(head) = bytes.first_chunk::<9>() else { return Ok(0) };
         let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        if length <= USABLE {
+        if length <= MAX_USABLE_FRAME_LENGTH {
             return Ok(0);
         }
         let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
@@ -336,7 +341,7 @@
         context.core.count_rejected_by_listener(None, &Verdict::Failed);
         let mut bytes = Vec::new();
         put_answer(stream, &Verdict::Failed, &mut bytes);
-        link.put(&bytes);
+        link.enqueue(&bytes);
         Ok(4 + length)
     }
 
@@ -350,7 +355,7 @@
     /// When the connection is closed as idle; one on which a frame has begun is not.
     fn unused_by(&self) -> Option<Timestamp> {
         let idle = self.open.is_empty() && self.whole_by.is_none();
-        idle.then_some(self.last + if self.used { IDLE } else { FIRST })
+        idle.then_some(self.last + if self.used { IDLE_TIMEOUT } else { FIRST_FRAME_TIMEOUT })
     }
 
     /// Tells the client what is wrong; the connection ends once that has gone out.
@@ -361,10 +366,10 @@
         }
         let mut bytes = Vec::new();
         put_answer(0, &Verdict::Failed, &mut bytes);
-        link.put(&bytes);
+        link.enqueue(&bytes);
         self.withdraw_all(link, context);
-        link.close_for(CloseCause::Unreadable);
-        self.finish_by = Some(context.now + LINGER);
+        link.set_close_cause(CloseCause::Unreadable);
+        self.finish_by = Some(context.now + LINGER_TIMEOUT);
         ControlFlow::Finish
     }
 }
@@ -381,7 +386,7 @@
 
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.last_seen = context.now;
-        let bytes = std::mem::take(&mut link.inbox);
+        let bytes = std::mem::take(&mut link.input);
         let mut from = self.skip.min(bytes.len());
         self.skip -= from;
         // What is still passed over belongs to the frame that began before.
@@ -410,18 +415,18 @@
                 Err(why) => break Some(why),
             }
         };
-        link.inbox = bytes;
-        link.used(from);
-        self.whole_by = if link.inbox.is_empty() && self.skip == 0 {
+        link.input = bytes;
+        link.consume(from);
+        self.whole_by = if link.input.is_empty() && self.skip == 0 {
             None
         } else {
             // What is left after a complete frame has only just begun.
-            self.whole_by.filter(|_| !begun).or(Some(context.now + WHOLE))
+            self.whole_by.filter(|_| !begun).or(Some(context.now + MESSAGE_TIMEOUT))
         };
         match error {
             Some(why) => self.malformed(why, link, context),
             // A client that closes waits for nothing more.
-            None if link.ended => ControlFlow::Close,
+            None if link.peer_closed => ControlFlow::Close,
             None => ControlFlow::Continue,
         }
     }
@@ -433,7 +438,7 @@
         let idle = self.unused_by().is_some_and(|by| by <= context.now);
         let over = self.finish_by.is_some_and(|by| by <= context.now);
         if idle {
-            link.close_for(CloseCause::Idle);
+            link.set_close_cause(CloseCause::Idle);
         }
         if idle || over { ControlFlow::Close } else { ControlFlow::Continue }
     }
@@ -460,31 +465,31 @@
         if self.open.remove(&stream) {
             let mut bytes = Vec::new();
             put_answer(stream, &answer.verdict, &mut bytes);
-            link.put(&bytes);
+            link.enqueue(&bytes);
             self.last = context.now;
         }
         ControlFlow::Continue
     }
 
-    fn leave(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn send_leave(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
         if !self.leaving {
             self.leaving = true;
             let mut bytes = Vec::new();
             put_frame(kinds::LEAVE, 0, &[], &mut bytes);
-            link.put(&bytes);
+            link.enqueue(&bytes);
         }
         ControlFlow::Continue
     }
 
-    fn partial(&self) -> bool {
+    fn has_partial_request(&self) -> bool {
         self.whole_by.is_some()
     }
 
-    fn begun(&self) -> bool {
+    fn may_receive_request(&self) -> bool {
         self.finish_by.is_none() && (self.whole_by.is_some() || !self.used)
     }
 
-    fn idle(&self) -> Option<Timestamp> {
+    fn idle_since(&self) -> Option<Timestamp> {
         (self.open.is_empty() && self.finish_by.is_none()).then_some(self.last.max(self.last_seen))
     }
 }
--- a/src/front/frames/tests.rs
+++ b/src/front/frames/tests.rs
@@ -59,7 +59,7 @@
     let twice: Vec<_> = good.iter().copied().chain([("allow", "9")]).collect();
     let got = read_request(&fields(&twice), OWNER, Timestamp(0)).unwrap_err();
     assert_eq!(got, RequestError::Unusable("a field stands twice"));
-    let large = [fields(&good), vec![0; BODY + 1]].concat();
+    let large = [fields(&good), vec![0; MAX_BODY_BYTES + 1]].concat();
     assert_eq!(
         read_request(&large, OWNER, Timestamp(0)).unwrap_err(),
         RequestError::Unusable("body too large")
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -13,10 +13,14 @@
 mod codec;
 
 pub use codec::{
-    BATCH, ChainParams, LINE, Params, ParsedLine, Request, chain_response, codes, read_line, response,
+    ChainParams, DEFAULT_MAX_LINE_BYTES, MAX_BATCH_REQUESTS, Params, ParsedLine, Request, chain_response,
+    codes, read_line, response,
 };
 
-use super::{IDLE, LINGER, OPEN, OUTBOX, TRANSIT, WHOLE};
+use super::{
+    ANSWER_TRANSIT_TIME, LINGER_TIMEOUT, MAX_OPEN_REQUESTS, MAX_UNREAD_OUTPUT_BYTES, MESSAGE_TIMEOUT,
+    RPC_IDLE_TIMEOUT,
+};
 use crate::chain::{Chain, Classes, End, Step};
 use crate::core::{Answer, IncomingRequest, Owner, Verdict};
 use crate::interface::{Duration, Timestamp};
@@ -68,7 +72,7 @@
 
     /// Buffers of such a connection.
     pub fn limits(line_limit: usize) -> BufferLimits {
-        BufferLimits { inbox: line_limit + 1, outbox: OUTBOX }
+        BufferLimits { input: line_limit + 1, output: MAX_UNREAD_OUTPUT_BYTES }
     }
 
     fn send(&mut self, batch: Option<u64>, reply: Value, link: &mut Link) {
@@ -176,7 +180,7 @@
             self.send(batch, error(id, codes::INVALID_REQUEST, "id is in use", None), link);
             return None;
         }
-        if self.open.len() >= OPEN || !context.active {
+        if self.open.len() >= MAX_OPEN_REQUESTS || !context.active {
             let verdict = Verdict::Refused { cooldown: context.core.default_cooldown() };
             context.core.count_rejected_by_listener(class, &verdict);
             self.send(batch, response(id, &Answer { verdict, expired: false }), link);
@@ -232,9 +236,9 @@
 
     fn read_lines(&mut self, link: &mut Link, context: &mut Context) {
         // A client that does not read its answers is not read from either: see `flushed`.
-        while link.waiting() <= OUTBOX {
-            let Some(end) = link.inbox.iter().position(|b| *b == b'\n') else { break };
-            let line: Vec<u8> = link.inbox.drain(..=end).collect();
+        while link.unwritten_bytes() <= MAX_UNREAD_OUTPUT_BYTES {
+            let Some(end) = link.input.iter().position(|b| *b == b'\n') else { break };
+            let line: Vec<u8> = link.input.drain(..=end).collect();
             if std::mem::take(&mut self.skipping) {
                 continue;
             }
@@ -244,8 +248,8 @@
                 self.too_long(link, context);
             }
         }
-        if link.inbox.len() > self.line_limit && !link.inbox.contains(&b'\n') {
-            link.inbox.clear();
+        if link.input.len() > self.line_limit && !link.input.contains(&b'\n') {
+            link.input.clear();
             if !std::mem::replace(&mut self.skipping, true) {
                 self.too_long(link, context);
             }
@@ -254,7 +258,7 @@
 
     /// When the connection is closed as idle; one on which a line has begun is not.
     fn unused_by(&self) -> Option<Timestamp> {
-        (self.open.is_empty() && self.whole_by.is_none()).then_some(self.last + IDLE)
+        (self.open.is_empty() && self.whole_by.is_none()).then_some(self.last + RPC_IDLE_TIMEOUT)
     }
 
     /// Whatever is open here will find nobody to answer to.
@@ -269,8 +273,8 @@
         context.core.counters().malformed += 1;
         put(link, &error(&Value::Null, codes::PARSE, "the line has no end", None));
         self.withdraw_all(link, context);
-        link.close_for(CloseCause::Unreadable);
-        self.finish_by = Some(context.now + LINGER);
+        link.set_close_cause(CloseCause::Unreadable);
+        self.finish_by = Some(context.now + LINGER_TIMEOUT);
         ControlFlow::Finish
     }
 
@@ -282,12 +286,12 @@
 
 /// When the line came that has just been taken from the input.
 fn arrived(link: &Link) -> Timestamp {
-    link.arrived(link.inbox.len())
+    link.arrived(link.input.len())
 }
 
 /// When a client that waits so long, counted from when its line came, is to have its answer.
 fn deadline(arrived: Timestamp, allow_ms: u64) -> Timestamp {
-    arrived + Duration((allow_ms.min(3_600_000) * 1_000_000).saturating_sub(TRANSIT.0))
+    arrived + Duration((allow_ms.min(3_600_000) * 1_000_000).saturating_sub(ANSWER_TRANSIT_TIME.0))
 }
 
 fn has_reply(request: &Request) -> bool {
@@ -297,7 +301,7 @@
 fn put(link: &mut Link, reply: &Value) {
     let mut bytes = reply.to_string().into_bytes();
     bytes.push(b'\n');
-    link.put(&bytes);
+    link.enqueue(&bytes);
 }
 
 impl Connection for RpcConnection {
@@ -312,20 +316,20 @@
 
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.last = context.now;
-        let held = link.inbox.len();
+        let held = link.input.len();
         self.read_lines(link, context);
-        if !link.ended {
+        if !link.peer_closed {
             // A line cut short is owed a word; one that is held back until its client reads is not cut short.
-            let part = self.skipping || !link.inbox.is_empty() && !link.inbox.contains(&b'\n');
+            let part = self.skipping || !link.input.is_empty() && !link.input.contains(&b'\n');
             self.whole_by = if !part {
                 None
             } else {
                 // What is left after a complete line has only just begun.
-                self.whole_by.filter(|_| link.inbox.len() >= held).or(Some(context.now + WHOLE))
+                self.whole_by.filter(|_| link.input.len() >= held).or(Some(context.now + MESSAGE_TIMEOUT))
             };
             return ControlFlow::Continue;
         }
-        if link.inbox.iter().all(u8::is_ascii_whitespace) || link.inbox.contains(&b'\n') {
+        if link.input.iter().all(u8::is_ascii_whitespace) || link.input.contains(&b'\n') {
             return ControlFlow::Close;
         }
         // A line cut short by the end: said, in case the client still reads.
@@ -344,7 +348,7 @@
         let idle = self.unused_by().is_some_and(|by| by <= context.now);
         let over = self.finish_by.is_some_and(|by| by <= context.now);
         if idle {
-            link.close_for(CloseCause::Idle);
+            link.set_close_cause(CloseCause::Idle);
         }
         if idle || over { ControlFlow::Close } else { ControlFlow::Continue }
     }
@@ -373,11 +377,11 @@
         self.over(stream, |id| chain_response(id, end), link, context)
     }
 
-    fn partial(&self) -> bool {
+    fn has_partial_request(&self) -> bool {
         self.whole_by.is_some()
     }
 
-    fn idle(&self) -> Option<Timestamp> {
+    fn idle_since(&self) -> Option<Timestamp> {
         (self.open.is_empty() && self.finish_by.is_none()).then_some(self.last)
     }
 }
--- a/src/front/jsonrpc/codec.rs
+++ b/src/front/jsonrpc/codec.rs
@@ -1,6 +1,6 @@
 //! What the JSON-RPC front's lines say: a pure codec.
 
-use super::super::{BODY, read_function};
+use super::super::{MAX_BODY_BYTES, read_function};
 use crate::chain::{End, STEPS, Step};
 use crate::core::{Answer, Verdict};
 use crate::interface::{Duration, FunctionId};
@@ -33,9 +33,9 @@
 }
 
 /// Requests in one batch.
-pub const BATCH: usize = 64;
+pub const MAX_BATCH_REQUESTS: usize = 64;
 /// Longest line where the operator has set no other limit.
-pub const LINE: usize = 64 << 10;
+pub const DEFAULT_MAX_LINE_BYTES: usize = 64 << 10;
 
 /// One request of a line.
 #[derive(Debug, PartialEq)]
@@ -99,7 +99,7 @@
     match serde_json::from_slice(line) {
         Err(_) => ParsedLine::One(Request::Reply(error(&Value::Null, codes::PARSE, "not JSON", None))),
         Ok(Value::Array(list)) if list.is_empty() => invalid("an empty batch"),
-        Ok(Value::Array(list)) if list.len() > BATCH => invalid("too large a batch"),
+        Ok(Value::Array(list)) if list.len() > MAX_BATCH_REQUESTS => invalid("too large a batch"),
         Ok(Value::Array(list)) => ParsedLine::Batch(list.into_iter().map(read_request).collect()),
         Ok(value) => ParsedLine::One(read_request(value)),
     }
@@ -169,7 +169,7 @@
     let function = read_text(params, "function", "function is not text")?.ok_or("no function")?;
     let body = STANDARD.decode(read_text(params, "body", "body is not text")?.unwrap_or_default());
     let body = body.map_err(|_| "body is not base64")?;
-    if body.len() > BODY {
+    if body.len() > MAX_BODY_BYTES {
         return Err("body too large");
     }
     let load_ms = figure("load_ms", 0.0, "odd load_ms")?;
--- a/src/front/jsonrpc/tests.rs
+++ b/src/front/jsonrpc/tests.rs
@@ -14,7 +14,7 @@
         ("{".to_owned(), codes::PARSE, "null"),
         ("\u{0}".to_owned(), codes::PARSE, "null"),
         ("[]".to_owned(), codes::INVALID_REQUEST, "null"),
-        (format!("[{}1]", "1,".repeat(BATCH)), codes::INVALID_REQUEST, "null"),
+        (format!("[{}1]", "1,".repeat(MAX_BATCH_REQUESTS)), codes::INVALID_REQUEST, "null"),
         ("7".to_owned(), codes::INVALID_REQUEST, "null"),
         (r#"{"id":"a","method":"call"}"#.to_owned(), codes::INVALID_REQUEST, "\"a\""),
         (r#"{"jsonrpc":"2.0","id":"a"}"#.to_owned(), codes::INVALID_REQUEST, "\"a\""),
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -7,20 +7,20 @@
 use crate::interface::Duration;
 
 /// Calls open at a time on one connection.
-pub const OPEN: usize = 32;
+pub const MAX_OPEN_REQUESTS: usize = 32;
 /// Largest body of a request.
-pub const BODY: usize = 16 << 10;
+pub const MAX_BODY_BYTES: usize = 16 << 10;
 /// Time that an answer takes back to its client; deadlines inside are earlier by it.
-pub const TRANSIT: Duration = Duration::millis(5);
+pub const ANSWER_TRANSIT_TIME: Duration = Duration::millis(5);
 /// A connection on which nothing is open and nothing comes is closed after this.
-pub const IDLE: Duration = Duration::millis(60_000);
+pub const RPC_IDLE_TIMEOUT: Duration = Duration::millis(60_000);
 /// A message that has begun must have come whole within this time: one that never ends holds a descriptor and
 /// a buffer, and its sender is owed a word within 3 s.
-pub const WHOLE: Duration = Duration::millis(2_500);
+pub const MESSAGE_TIMEOUT: Duration = Duration::millis(2_500);
 /// Output that may wait for a client before no more is read from it.
-pub const OUTBOX: usize = 256 << 10;
+pub const MAX_UNREAD_OUTPUT_BYTES: usize = 256 << 10;
 /// How long a client that has been told the connection ends may take to read the rest.
-pub const LINGER: Duration = Duration::millis(2_000);
+pub const LINGER_TIMEOUT: Duration = Duration::millis(2_000);
 
 /// A function's 16 hex digits.
 pub fn read_function(text: &str) -> Option<u64> {
--- a/src/handover/connection.rs
+++ b/src/handover/connection.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// Buffers of a peer's connection, in bytes: a message to read, and no bound on what waits to be written.
-pub const BUFFER_LIMITS: BufferLimits = BufferLimits { inbox: MAX_MESSAGE_LENGTH + 4, outbox: usize::MAX };
+pub const BUFFER_LIMITS: BufferLimits = BufferLimits { input: MAX_MESSAGE_LENGTH + 4, output: usize::MAX };
 /// What happened at connections to peers, for the daemon to take.
 #[derive(Default)]
 pub struct InputQueue {
@@ -46,7 +46,7 @@
         let mut read = 0;
         let mut queue = self.queue.borrow_mut();
         loop {
-            match message::read(&link.inbox[read..]) {
+            match message::read(&link.input[read..]) {
                 Ok(None) => break,
                 Ok(Some((message, size))) => {
                     read += size;
@@ -58,8 +58,8 @@
                 }
             }
         }
-        link.used(read);
-        if link.ended { ControlFlow::Close } else { ControlFlow::Continue }
+        link.consume(read);
+        if link.peer_closed { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
     fn closed(&mut self, link: &Link, _hub: &mut Context) {
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -45,7 +45,7 @@
     /// Whether this daemon takes new requests on fronts of its host; see [`crate::vrrp`].
     pub active: bool,
     /// Whether clients are taken from the listener; see [`crate::handover`].
-    pub open: bool,
+    pub accepting: bool,
     /// This process's place in its fleet, if it has one.
     pub fleet: Option<Rc<RefCell<FleetNode>>>,
     /// Its place in a domain, if it has one.
@@ -65,7 +65,7 @@
         ControlFlow::Continue
     }
     /// Bytes that were put in line long ago are about to go out, and none of them has: they may be taken back.
-    fn unsent(&mut self, _link: &mut Link, _hub: &mut Context) {}
+    fn before_first_byte(&mut self, _link: &mut Link, _hub: &mut Context) {}
     /// The time told by [`Connection::deadline`] has come.
     fn on_timeout(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
         ControlFlow::Continue
@@ -91,40 +91,40 @@
         ControlFlow::Continue
     }
     /// A job for the worker at the other end.
-    fn job(&mut self, _job: Job, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn submit_job(&mut self, _job: Job, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
     /// Whether a job could be given now: its reference is not open here and there is room.
-    fn accepts(&self, _reference: Option<&str>) -> bool {
+    fn can_accept(&self, _reference: Option<&str>) -> bool {
         false
     }
     /// How many requests are open here.
-    fn load(&self) -> usize {
+    fn open_requests(&self) -> usize {
         0
     }
     /// No new request is wanted here any more.
-    fn leave(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn send_leave(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
     /// Whether a request is half read here.
-    fn partial(&self) -> bool {
+    fn has_partial_request(&self) -> bool {
         false
     }
     /// Whether a request is half read here, or may still come because none has.
-    fn begun(&self) -> bool {
+    fn may_receive_request(&self) -> bool {
         false
     }
     /// Since when nothing is open here, so that it may be closed to make room; none while something is.
-    fn idle(&self) -> Option<Timestamp> {
+    fn idle_since(&self) -> Option<Timestamp> {
         None
     }
     /// The attempt that is next in line here and could be written now. It is written only by
-    /// [`Connection::proceed`], once its client's connection has been read.
+    /// [`Connection::write_next_attempt`], once its client's connection has been read.
     fn next_attempt(&self, _link: &Link) -> Option<AttemptId> {
         None
     }
     /// Writes the attempt that is next in line, if it may still go.
-    fn proceed(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn write_next_attempt(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,9 +9,9 @@
 mod sockets;
 
 pub use connection::{Connection, Context, ControlFlow};
-pub use momentary::{is_momentary, retry_while_momentary};
-pub use reactor::{Reactor, Signal};
-pub use sockets::DATAGRAMS;
+pub use momentary::{is_transient, retry_while_transient};
+pub use reactor::{Reactor, Wakeup};
+pub use sockets::MAX_DATAGRAMS_PER_TURN;
 
 use crate::interface::{Duration, Timestamp};
 use crate::request::CloseCause;
@@ -164,9 +164,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BufferLimits {
     /// Bytes that have been read and not yet used.
-    pub inbox: usize,
+    pub input: usize,
     /// Bytes that wait to be written.
-    pub outbox: usize,
+    pub output: usize,
 }
 
 /// A stream with its two buffers. Input beyond its limit and output that nobody reads hold reading back.
@@ -176,12 +176,12 @@
     token: Token,
     interest: Option<Interest>,
     /// Read and not yet used.
-    pub inbox: Vec<u8>,
-    outbox: Vec<u8>,
+    pub input: Vec<u8>,
+    output: Vec<u8>,
     sent: usize,
     up: bool,
     /// The other side has closed its half.
-    pub ended: bool,
+    pub peer_closed: bool,
     limits: BufferLimits,
     /// Reading stopped short of what the socket had: it must be asked anew.
     held: bool,
@@ -198,18 +198,18 @@
         if let Stream::Tcp(stream) = &stream {
             receive::enable_timestamps(stream);
         }
-        let (inbox, outbox) = (Vec::new(), Vec::new());
-        let (interest, sent, ended) = (None, 0, false);
+        let (input, output) = (Vec::new(), Vec::new());
+        let (interest, sent, peer_closed) = (None, 0, false);
         let (held, write_failed) = (false, false);
         Link {
             stream,
             token,
             interest,
-            inbox,
-            outbox,
+            input,
+            output,
             sent,
             up,
-            ended,
+            peer_closed,
             limits,
             held,
             write_failed,
@@ -224,12 +224,12 @@
     }
 
     /// Whether the connection stands.
-    pub fn is_up(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.up
     }
 
     /// Says why the connection is to end; the first word counts.
-    pub fn close_for(&mut self, cause: CloseCause) {
+    pub fn set_close_cause(&mut self, cause: CloseCause) {
         self.cause.get_or_insert(cause);
     }
 
@@ -239,31 +239,31 @@
             Some(cause) => cause,
             None if self.write_failed => CloseCause::Broken,
             None if !self.up => CloseCause::NotConnected,
-            None if self.ended => CloseCause::Ended,
+            None if self.peer_closed => CloseCause::Ended,
             None => CloseCause::Finished,
         }
     }
 
     /// Bytes that wait to be written.
-    pub fn waiting(&self) -> usize {
-        self.outbox.len() - self.sent
+    pub fn unwritten_bytes(&self) -> usize {
+        self.output.len() - self.sent
     }
 
     /// Puts bytes in line to be written.
-    pub fn put(&mut self, bytes: &[u8]) {
-        self.outbox.extend_from_slice(bytes);
+    pub fn enqueue(&mut self, bytes: &[u8]) {
+        self.output.extend_from_slice(bytes);
     }
 
     /// Whether bytes wait to be written of which none has gone to the system.
-    pub fn untouched(&self) -> bool {
-        self.sent == 0 && !self.outbox.is_empty()
+    pub fn none_written(&self) -> bool {
+        self.sent == 0 && !self.output.is_empty()
     }
 
     /// Takes back what waits to be written. False where a part of it has gone: the other side has half a message then,
     /// and nothing more may be written.
-    pub fn take_back(&mut self) -> bool {
+    pub fn discard_output(&mut self) -> bool {
         let whole = self.sent == 0;
-        (self.outbox, self.sent) = (Vec::new(), 0);
+        (self.output, self.sent) = (Vec::new(), 0);
         whole
     }
 
@@ -273,17 +273,17 @@
     }
 
     /// Drops the first bytes of the input, which have been used.
-    pub fn used(&mut self, count: usize) {
-        self.inbox.drain(..count);
+    pub fn consume(&mut self, count: usize) {
+        self.input.drain(..count);
         // Hundreds of connections must not each keep the room of their largest message.
-        if self.inbox.capacity() > CHUNK + 2 * self.inbox.len() {
-            self.inbox.shrink_to(self.inbox.len());
+        if self.input.capacity() > CHUNK + 2 * self.input.len() {
+            self.input.shrink_to(self.input.len());
         }
     }
 
     /// Whether input is held back until the other side reads what it is owed.
-    pub fn held_back(&self) -> bool {
-        self.waiting() > self.limits.outbox || self.inbox.len() > self.limits.inbox
+    pub fn is_input_paused(&self) -> bool {
+        self.unwritten_bytes() > self.limits.output || self.input.len() > self.limits.input
     }
 
     /// Whether a write has failed.
@@ -302,8 +302,8 @@
     }
 
     fn write_out(&mut self) -> io::Result<bool> {
-        while self.up && self.sent < self.outbox.len() {
-            match self.stream.write(&self.outbox[self.sent..]) {
+        while self.up && self.sent < self.output.len() {
+            match self.stream.write(&self.output[self.sent..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => self.sent += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -311,14 +311,14 @@
                 Err(e) => return Err(e),
             }
         }
-        if self.sent == self.outbox.len() {
-            self.outbox.clear();
+        if self.sent == self.output.len() {
+            self.output.clear();
             self.sent = 0;
-            if self.outbox.capacity() > CHUNK {
-                self.outbox.shrink_to(4096);
+            if self.output.capacity() > CHUNK {
+                self.output.shrink_to(4096);
             }
         }
-        Ok(self.waiting() == 0 && self.up)
+        Ok(self.unwritten_bytes() == 0 && self.up)
     }
 
     /// Leaves the rest in the socket for now; it is told of again.
@@ -337,18 +337,18 @@
     fn read_chunks(&mut self, clock: SystemClock) -> io::Result<bool> {
         let mut chunk = [0u8; CHUNK];
         loop {
-            if self.ended {
+            if self.peer_closed {
                 return Ok(true);
             }
-            if self.held_back() {
+            if self.is_input_paused() {
                 self.held = true;
                 return Ok(false);
             }
             match self.stream.receive(&mut chunk) {
-                Ok((0, _)) => self.ended = true,
+                Ok((0, _)) => self.peer_closed = true,
                 Ok((count, stamp)) => {
-                    self.arrivals.note_bytes(count, stamp, clock.reading(), self.inbox.len());
-                    self.inbox.extend_from_slice(&chunk[..count]);
+                    self.arrivals.note_bytes(count, stamp, clock.reading(), self.input.len());
+                    self.input.extend_from_slice(&chunk[..count]);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(true),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -359,13 +359,13 @@
 
     /// Tells the system what is waited for now.
     fn register(&mut self, registry: &Registry) -> io::Result<()> {
-        let wanted = match (self.up, self.waiting() > 0) {
+        let wanted = match (self.up, self.unwritten_bytes() > 0) {
             (false, _) => Interest::WRITABLE,
             (true, true) => Interest::READABLE | Interest::WRITABLE,
             (true, false) => Interest::READABLE,
         };
         // Events come once a change. Input that was left in the socket is only told of again if asked for.
-        let again = self.held && !self.held_back();
+        let again = self.held && !self.is_input_paused();
         if self.interest == Some(wanted) && !again {
             return Ok(());
         }
--- a/src/net/momentary.rs
+++ b/src/net/momentary.rs
@@ -11,7 +11,7 @@
 
 /// Whether the same call may well succeed a moment later: descriptors, memory, ports or routes are short, or it was
 /// interrupted. An address that is in use is none of these: it belongs to somebody.
-pub fn is_momentary(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
         Some(
@@ -34,11 +34,11 @@
 ///
 /// # Errors
 /// The last failure, once it is none that passes or the time for retries is over.
-pub fn retry_while_momentary<T>(mut what: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_while_transient<T>(mut what: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let limit = Instant::now() + PATIENCE;
     loop {
         match what() {
-            Err(e) if is_momentary(&e) && Instant::now() < limit => thread::sleep(PAUSE),
+            Err(e) if is_transient(&e) && Instant::now() < limit => thread::sleep(PAUSE),
             done => return done,
         }
     }
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -17,7 +17,7 @@
 
 /// What woke the reactor beside connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum Wakeup {
     /// A client has come in at the listener of this number.
     Client(usize),
     /// The pipe of this number has something.
@@ -39,8 +39,8 @@
 impl Entry {
     /// Writes what the system takes; true once nothing waits.
     fn flush(&mut self, context: &mut Context) -> io::Result<bool> {
-        if self.link.untouched() {
-            self.connection.unsent(&mut self.link, context);
+        if self.link.none_written() {
+            self.connection.before_first_byte(&mut self.link, context);
         }
         self.link.flush()
     }
@@ -60,7 +60,7 @@
 
     /// Writes what waits; the connection may put more in line once all has gone.
     fn write_waiting(&mut self, context: &mut Context) -> io::Result<ControlFlow> {
-        if self.link.waiting() == 0 || !self.flush(context)? {
+        if self.link.unwritten_bytes() == 0 || !self.flush(context)? {
             return Ok(ControlFlow::Continue);
         }
         Ok(self.connection.flushed(&mut self.link, context))
@@ -71,27 +71,27 @@
     fn read_all(&mut self, mut flow: ControlFlow, context: &mut Context) -> ControlFlow {
         let mut taken = 0;
         loop {
-            let held = self.link.inbox.len();
+            let held = self.link.input.len();
             let filled = self.link.fill(context.clock);
             // What had come whole before it broke counts, whatever the break is called.
-            self.link.ended |= filled.is_err();
-            let more = self.link.inbox.len() - held;
+            self.link.peer_closed |= filled.is_err();
+            let more = self.link.input.len() - held;
             taken += more;
             if self.finishing {
-                self.wasted += self.link.inbox.len();
-                self.link.inbox.clear();
+                self.wasted += self.link.input.len();
+                self.link.input.clear();
                 if self.wasted > WASTE {
-                    self.link.close_for(CloseCause::Unreadable);
+                    self.link.set_close_cause(CloseCause::Unreadable);
                     return ControlFlow::Close;
                 }
-            } else if more > 0 || self.link.ended {
+            } else if more > 0 || self.link.peer_closed {
                 flow = flow.and(self.connection.received(&mut self.link, context));
             }
             let Ok(all) = filled else {
-                self.link.close_for(CloseCause::Broken);
+                self.link.set_close_cause(CloseCause::Broken);
                 return ControlFlow::Close;
             };
-            if all || flow != ControlFlow::Continue || self.link.held_back() {
+            if all || flow != ControlFlow::Continue || self.link.is_input_paused() {
                 return flow;
             }
             if taken > TURN {
@@ -141,17 +141,17 @@
     /// When the last poll began that told of all there was: what it did not tell of had not come by then.
     polled_at: ClockReading,
     /// When the one before it began: what the last poll told of had not come by then.
-    told_since: ClockReading,
+    arrival_bound: ClockReading,
     /// Bytes that wait to be written, on all connections together.
     waiting: usize,
     /// Beyond so many of them a connection that adds to them is closed, if its other side reads nothing.
-    pub waiting_limit: usize,
+    pub max_unwritten_bytes: usize,
     /// Callbacks are handed this; false while the scheduler is not ready.
     pub ready: bool,
     /// Callbacks are handed this too; false while another daemon is the active one.
     pub active: bool,
     /// And this; false while another process takes the clients.
-    pub open: bool,
+    pub accepting: bool,
     /// And this; none where there is no fleet.
     pub fleet: Option<Rc<RefCell<FleetNode>>>,
     /// And this; none where nothing is distributed.
@@ -178,12 +178,12 @@
             proceeding: BTreeSet::new(),
             quiet: true,
             polled_at: now,
-            told_since: now,
+            arrival_bound: now,
             waiting: 0,
-            waiting_limit: usize::MAX,
+            max_unwritten_bytes: usize::MAX,
             ready: false,
             active: true,
-            open: true,
+            accepting: true,
             fleet: None,
             distribution: None,
         })
@@ -216,7 +216,7 @@
         let token = Token(self.next);
         self.next += 1;
         // A client may have waited to be accepted for as long as its listener was not told of.
-        let link = Link::new(stream, token, up, limits, self.told_since);
+        let link = Link::new(stream, token, up, limits, self.arrival_bound);
         self.entries
             .insert(token, Entry { link, connection, due: None, finishing: false, shut: false, wasted: 0 });
         self.call(token, core, |entry, context| {
@@ -241,7 +241,7 @@
             clock: self.clock,
             ready: self.ready,
             active: self.active,
-            open: self.open,
+            accepting: self.accepting,
             fleet: self.fleet.clone(),
             distribution: self.distribution.clone(),
         }
@@ -256,11 +256,11 @@
     ) {
         let context = &mut self.context(core);
         let Some(entry) = self.entries.get_mut(&token) else { return };
-        let before = entry.link.waiting();
+        let before = entry.link.unwritten_bytes();
         let flow = catch_unwind(AssertUnwindSafe(|| {
             let mut flow = what(entry, context);
             // What was put in line goes out at once; a connection may put more whenever all has gone.
-            while flow != ControlFlow::Close && entry.link.up && entry.link.waiting() > 0 {
+            while flow != ControlFlow::Close && entry.link.up && entry.link.unwritten_bytes() > 0 {
                 match entry.flush(context) {
                     Ok(true) => flow = flow.and(entry.connection.flushed(&mut entry.link, context)),
                     Ok(false) => break,
@@ -277,24 +277,24 @@
         let flow = flow.unwrap_or_else(|_| {
             context.core.counters().panics += 1;
             tracing::error!("panic connection={} closed", token.0);
-            entry.link.close_for(CloseCause::Fault);
+            entry.link.set_close_cause(CloseCause::Fault);
             ControlFlow::Close
         });
-        let after = entry.link.waiting();
+        let after = entry.link.unwritten_bytes();
         self.waiting = (self.waiting + after).saturating_sub(before);
         // Memory is bounded, and so is what those who do not read may hold of it.
-        let clogged = self.waiting > self.waiting_limit && after > before && after > CLOGGED;
+        let clogged = self.waiting > self.max_unwritten_bytes && after > before && after > CLOGGED;
         let flow = if clogged { ControlFlow::Close } else { flow };
         if clogged {
-            entry.link.close_for(CloseCause::Clogged);
+            entry.link.set_close_cause(CloseCause::Clogged);
         }
         entry.finishing |= flow == ControlFlow::Finish;
         // Closed with input unread, the system would throw away what the other side has not read yet: this
         // half is shut, and the rest waits for the other side's end or the connection's own deadline.
-        if entry.finishing && entry.link.waiting() == 0 && !std::mem::replace(&mut entry.shut, true) {
+        if entry.finishing && entry.link.unwritten_bytes() == 0 && !std::mem::replace(&mut entry.shut, true) {
             entry.link.stream.shut();
         }
-        let done = flow == ControlFlow::Close || entry.shut && entry.link.ended;
+        let done = flow == ControlFlow::Close || entry.shut && entry.link.peer_closed;
         if done || entry.link.register(self.poll.registry()).is_err() {
             return self.close(token, context.core);
         }
@@ -315,7 +315,7 @@
 
     fn close(&mut self, token: Token, core: &mut Core) {
         let Some(mut entry) = self.entries.remove(&token) else { return };
-        self.waiting = self.waiting.saturating_sub(entry.link.waiting());
+        self.waiting = self.waiting.saturating_sub(entry.link.unwritten_bytes());
         if let Some(at) = entry.due {
             self.timers.remove(&(at, token));
         }
@@ -331,19 +331,19 @@
     }
 
     /// Ends a connection from outside.
-    pub fn end(&mut self, id: u64, core: &mut Core) {
+    pub fn close_replaced(&mut self, id: u64, core: &mut Core) {
         self.close_for(Token(id as usize), CloseCause::Replaced, core);
     }
 
     fn close_for(&mut self, token: Token, cause: CloseCause, core: &mut Core) {
         if let Some(entry) = self.entries.get_mut(&token) {
-            entry.link.close_for(cause);
+            entry.link.set_close_cause(cause);
         }
         self.close(token, core);
     }
 
     /// Gives a connection something to do; false if it has gone.
-    pub fn with(
+    pub fn with_connection(
         &mut self,
         id: u64,
         core: &mut Core,
@@ -356,7 +356,7 @@
     }
 
     /// Looks at a connection.
-    pub fn look<T>(&self, id: u64, at: impl FnOnce(&dyn Connection) -> T) -> Option<T> {
+    pub fn inspect<T>(&self, id: u64, at: impl FnOnce(&dyn Connection) -> T) -> Option<T> {
         self.entries.get(&Token(id as usize)).map(|entry| at(entry.connection.as_ref()))
     }
 
@@ -366,20 +366,20 @@
     }
 
     /// Whether a request is half read on any connection, or may still come on a new one.
-    pub fn begun(&self) -> bool {
-        self.entries.values().any(|entry| entry.connection.begun())
+    pub fn may_receive_request(&self) -> bool {
+        self.entries.values().any(|entry| entry.connection.may_receive_request())
     }
 
     /// Whether any connection still has something to write.
-    pub fn unwritten(&self) -> bool {
-        self.entries.values().any(|entry| entry.link.up && entry.link.waiting() > 0)
+    pub fn has_unwritten_output(&self) -> bool {
+        self.entries.values().any(|entry| entry.link.up && entry.link.unwritten_bytes() > 0)
     }
 
     /// Waits until something happens or `until` comes, calls connections back, and returns the rest.
     ///
     /// # Errors
     /// The wait failed for another reason than a signal.
-    pub fn poll_once(&mut self, until: Option<Timestamp>, core: &mut Core) -> io::Result<Vec<Signal>> {
+    pub fn poll_once(&mut self, until: Option<Timestamp>, core: &mut Core) -> io::Result<Vec<Wakeup>> {
         let due = self.timers.first().map(|(at, _)| *at).into_iter().chain(until).min();
         let begun = self.clock.reading();
         // Rounded up, so that a timer is not asked for a little early again and again.
@@ -403,27 +403,27 @@
             .iter()
             .map(|e| (e.token(), e.is_readable() || e.is_error(), e.is_read_closed()))
             .collect();
-        self.told_since = self.polled_at;
+        self.arrival_bound = self.polled_at;
         if ready.len() < EVENTS {
             self.polled_at = begun;
         }
         self.quiet = ready.is_empty();
         for (token, readable, ended) in ready {
             match token.0 {
-                number if number < PIPES => signals.push(Signal::Client(number)),
+                number if number < PIPES => signals.push(Wakeup::Client(number)),
                 number if (SOCKETS..FIRST).contains(&number) => {
-                    signals.push(Signal::Datagram(number - SOCKETS));
+                    signals.push(Wakeup::Datagram(number - SOCKETS));
                 }
                 number if number < FIRST => {
                     self.empty(number - PIPES);
-                    signals.push(Signal::Pipe(number - PIPES));
+                    signals.push(Wakeup::Pipe(number - PIPES));
                 }
                 // Whose input is held back would not be heard to close: who reads nothing and writes nothing
                 // more has gone.
-                _ if ended && self.entries.get(&token).is_some_and(|entry| entry.link.held_back()) => {
+                _ if ended && self.entries.get(&token).is_some_and(|entry| entry.link.is_input_paused()) => {
                     self.close_for(token, CloseCause::Ended, core);
                 }
-                _ => self.happened(token, readable || ended, self.told_since, core),
+                _ => self.happened(token, readable || ended, self.arrival_bound, core),
             }
         }
         let now = self.clock.now();
@@ -444,14 +444,14 @@
     }
 
     /// What this turn's poll told of had not come by then.
-    pub fn told_since(&self) -> ClockReading {
-        self.told_since
+    pub fn arrival_bound(&self) -> ClockReading {
+        self.arrival_bound
     }
 
     /// What comes in for the rest of this turn may have waited since then.
-    pub fn waits_since(&mut self, since: ClockReading) {
-        if since.own < self.told_since.own {
-            self.told_since = since;
+    pub fn lower_arrival_bound(&mut self, since: ClockReading) {
+        if since.own < self.arrival_bound.own {
+            self.arrival_bound = since;
         }
     }
 
@@ -475,7 +475,7 @@
     }
 
     /// Whether the last turn found nothing that had come.
-    pub fn is_quiet(&self) -> bool {
+    pub fn last_poll_was_empty(&self) -> bool {
         self.quiet
     }
 
@@ -507,9 +507,11 @@
     /// Closes the connection that has had nothing open for longest, if there is one: whoever will use it again
     /// has most likely done so before. One on which something has come that is still to be read is not idle, and one
     /// with half a request goes after all others.
-    pub fn shed_idle(&mut self, core: &mut Core) -> bool {
+    pub fn close_longest_idle(&mut self, core: &mut Core) -> bool {
         for _ in 0..self.entries.len() {
-            let rank = |entry: &Entry| Some((entry.connection.partial(), entry.connection.idle()?));
+            let rank = |entry: &Entry| {
+                Some((entry.connection.has_partial_request(), entry.connection.idle_since()?))
+            };
             let idle = self.entries.iter().filter_map(|(token, entry)| Some((rank(entry)?, *token)));
             let Some((before, token)) = idle.min() else { return false };
             self.catch_up(token.0 as u64, core);
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -15,9 +15,9 @@
         ControlFlow::Continue
     }
     fn received(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
-        let bytes = std::mem::take(&mut link.inbox);
+        let bytes = std::mem::take(&mut link.input);
         assert!(!bytes.contains(&b'!'), "as the test wants");
-        link.put(&bytes);
+        link.enqueue(&bytes);
         ControlFlow::Continue
     }
     fn closed(&mut self, _link: &Link, _hub: &mut Context) {}
@@ -37,16 +37,16 @@
 #[test]
 fn output_beyond_the_limit_ends_the_connection_that_adds_to_it() {
     let (mut core, mut reactor) = parts();
-    reactor.waiting_limit = 8 << 20;
+    reactor.max_unwritten_bytes = 8 << 20;
     let (near, _far) = StdUnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     let stream = Stream::Unix(UnixStream::from_std(near));
     let id = reactor
-        .add(stream, Box::new(Fragile), true, BufferLimits { inbox: 100, outbox: usize::MAX }, &mut core)
+        .add(stream, Box::new(Fragile), true, BufferLimits { input: 100, output: usize::MAX }, &mut core)
         .unwrap();
     let mut put = |bytes: usize| {
-        reactor.with(id, &mut core, |_, link, _| {
-            link.put(&vec![0; bytes]);
+        reactor.with_connection(id, &mut core, |_, link, _| {
+            link.enqueue(&vec![0; bytes]);
             ControlFlow::Continue
         });
         (reactor.count(), reactor.waiting > 0)
@@ -62,7 +62,7 @@
         let (near, far) = StdUnixStream::pair().unwrap();
         near.set_nonblocking(true).unwrap();
         let stream = Stream::Unix(UnixStream::from_std(near));
-        reactor.add(stream, Box::new(Fragile), true, BufferLimits { inbox: 100, outbox: 100 }, core).unwrap();
+        reactor.add(stream, Box::new(Fragile), true, BufferLimits { input: 100, output: 100 }, core).unwrap();
         far
     };
     let (mut first, mut second) = (add(&mut core), add(&mut core));
@@ -144,7 +144,7 @@
     for (stream, connection) in [(other, writer), (near, idle)] {
         stream.set_nonblocking(true).unwrap();
         let stream = Stream::Unix(UnixStream::from_std(stream));
-        reactor.add(stream, connection, true, BufferLimits { inbox: 100, outbox: 100 }, &mut core).unwrap();
+        reactor.add(stream, connection, true, BufferLimits { input: 100, output: 100 }, &mut core).unwrap();
     }
     reactor.poll_once(None, &mut core).unwrap();
     assert_eq!(*log.borrow(), ["read"]);
@@ -162,7 +162,7 @@
         ControlFlow::Continue
     }
     fn received(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
-        self.0.borrow_mut().append(&mut link.inbox);
+        self.0.borrow_mut().append(&mut link.input);
         ControlFlow::Continue
     }
     fn closed(&mut self, _link: &Link, _hub: &mut Context) {
@@ -180,14 +180,14 @@
     let heard = std::rc::Rc::default();
     let listener = Box::new(Listener(std::rc::Rc::clone(&heard)));
     let id =
-        reactor.add(stream, listener, true, BufferLimits { inbox: 100, outbox: 100 }, &mut core).unwrap();
+        reactor.add(stream, listener, true, BufferLimits { input: 100, output: 100 }, &mut core).unwrap();
     far.write_all(b"last word").unwrap();
     drop(far);
     let put = |_: &mut dyn Connection, link: &mut Link, _: &mut Context| {
-        link.put(b"into the void");
+        link.enqueue(b"into the void");
         ControlFlow::Continue
     };
-    reactor.with(id, &mut core, put);
+    reactor.with_connection(id, &mut core, put);
     assert_eq!(heard.borrow().as_slice(), b"last word.");
     assert_eq!(reactor.count(), 0);
 }
@@ -204,10 +204,10 @@
         ControlFlow::Continue
     }
     fn received(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
-        for unused in (0..link.inbox.len()).rev() {
+        for unused in (0..link.input.len()).rev() {
             self.0.borrow_mut().push(link.arrived(unused));
         }
-        link.inbox.clear();
+        link.input.clear();
         ControlFlow::Continue
     }
     fn closed(&mut self, _link: &Link, _hub: &mut Context) {}
@@ -224,7 +224,7 @@
     let (mut core, mut reactor) = parts();
     let arrived = Rc::default();
     let connection = Box::new(Clocked(Rc::clone(&arrived)));
-    reactor.add(stream, connection, true, BufferLimits { inbox: 100, outbox: 100 }, &mut core).unwrap();
+    reactor.add(stream, connection, true, BufferLimits { input: 100, output: 100 }, &mut core).unwrap();
     for _ in 0..3 {
         reactor.poll_once(Some(reactor.now()), &mut core).unwrap();
         std::thread::sleep(STOP);
@@ -280,10 +280,10 @@
     let (near, mut far) = tcp_pair();
     let arrived = Rc::default();
     let connection = Box::new(Clocked(Rc::clone(&arrived)));
-    let limits = BufferLimits { inbox: 100, outbox: 1000 };
+    let limits = BufferLimits { input: 100, output: 1000 };
     let id = reactor.add(near, connection, true, limits, &mut core).unwrap();
-    reactor.with(id, &mut core, |_, link, _| {
-        link.put(&vec![0; 16 << 20]);
+    reactor.with_connection(id, &mut core, |_, link, _| {
+        link.enqueue(&vec![0; 16 << 20]);
         ControlFlow::Continue
     });
     let mut written = vec![];
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -13,7 +13,7 @@
 /// Receives of one datagram that may fail before others have their turn.
 const FAILED_RECEIVES: usize = 16;
 /// Datagrams taken from one socket in one turn of the loop: a flood must not keep requests waiting.
-pub const DATAGRAMS: usize = 256;
+pub const MAX_DATAGRAMS_PER_TURN: usize = 256;
 
 impl Reactor {
     /// Listens on a TCP address; the listener's number, and the address with its port where any would do.
@@ -27,7 +27,7 @@
     }
 
     /// A TCP socket that others may share: its number, and its address. Clients are taken from it once
-    /// [`Reactor::take_from`] says so.
+    /// [`Reactor::set_accepting`] says so.
     ///
     /// # Errors
     /// The listener cannot be made non-blocking, or has no address.
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// The poll refuses the change; the listener stays as it was.
-    pub fn take_from(&mut self, listener: usize, taken: bool) -> io::Result<()> {
+    pub fn set_accepting(&mut self, listener: usize, taken: bool) -> io::Result<()> {
         let registry = self.poll.registry();
         match (self.listeners.get_mut(listener).and_then(Option::as_mut), taken) {
             (Some(Listener::Tcp(l)), true) => registry.register(l, Token(listener), Interest::READABLE),
@@ -79,7 +79,7 @@
     }
 
     /// Listens there no longer.
-    pub fn unlisten(&mut self, listener: usize) {
+    pub fn close_listener(&mut self, listener: usize) {
         let gone = self.listeners.get_mut(listener).and_then(Option::take);
         let _ = match gone {
             Some(Listener::Tcp(mut l)) => self.poll.registry().deregister(&mut l),
@@ -122,7 +122,7 @@
 
     /// The next datagram of a socket, with its sender and size, if there is one. A caller that stops before there is none
     /// requests [`Reactor::resume_receiving`].
-    pub fn datagram(&mut self, number: usize, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
+    pub fn receive_datagram(&mut self, number: usize, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
         let socket = self.sockets.get(number)?.as_ref()?;
         for _ in 0..FAILED_RECEIVES {
             match socket.recv_from(into) {
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -9,17 +9,17 @@
     let mut poll = Poll::new().unwrap();
     let mut events = Events::with_capacity(4);
     let clock = SystemClock::new();
-    let limits = BufferLimits { inbox: 100, outbox: 0 };
+    let limits = BufferLimits { input: 100, output: 0 };
     let mut link = Link::new(Stream::Unix(near), Token(1), true, limits, clock.reading());
     link.register(poll.registry()).unwrap();
     far.write_all(b"x").unwrap();
     poll.poll(&mut events, Some(Duration::from_secs(10))).unwrap();
-    link.put(b"y");
-    assert!(!link.fill(clock).unwrap() && link.inbox.is_empty(), "held back");
+    link.enqueue(b"y");
+    assert!(!link.fill(clock).unwrap() && link.input.is_empty(), "held back");
     assert!(link.flush().unwrap());
     link.register(poll.registry()).unwrap();
     poll.poll(&mut events, Some(Duration::from_secs(10))).unwrap();
     assert!(events.iter().any(mio::event::Event::is_readable));
     assert!(link.fill(clock).unwrap());
-    assert_eq!(link.inbox, b"x");
+    assert_eq!(link.input, b"x");
 }
--- a/src/ops/mgmt.rs
+++ b/src/ops/mgmt.rs
@@ -8,7 +8,7 @@
 /// Operators at a time; they live on descriptors that are reserved beside clients' and workers'.
 pub const OPERATOR_CONNECTIONS: usize = 12;
 /// Buffers of an operator's connection: a head, and an answer that waits.
-pub const LIMITS: BufferLimits = BufferLimits { inbox: HEAD + 1, outbox: 64 << 10 };
+pub const LIMITS: BufferLimits = BufferLimits { input: HEAD + 1, output: 64 << 10 };
 /// A call must have come whole within this time, and its answer must be read within as long again.
 const WHOLE: Duration = Duration::millis(2_000);
 
@@ -26,7 +26,7 @@
 
     fn carry_out(call: Call, context: &mut Context) -> Result<String, HttpError> {
         let done = match call {
-            Call::Ready if context.ready && context.open && context.core.places() => {
+            Call::Ready if context.ready && context.accepting && context.core.places() => {
                 return Ok("ready\n".to_owned());
             }
             Call::Ready => return Err(HttpError(503, "not ready")),
@@ -63,8 +63,8 @@
         context: &Context,
     ) -> ControlFlow {
         match answer {
-            Ok(text) => link.put(&http::answer(200, &text)),
-            Err(HttpError(status, why)) => link.put(&http::answer(status, &format!("{why}\n"))),
+            Ok(text) => link.enqueue(&http::answer(200, &text)),
+            Err(HttpError(status, why)) => link.enqueue(&http::answer(status, &format!("{why}\n"))),
         }
         self.answered = Some(context.now);
         ControlFlow::Finish
@@ -81,8 +81,8 @@
     }
 
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        match http::read(&link.inbox) {
-            Ok(None) if link.ended => ControlFlow::Close,
+        match http::read(&link.input) {
+            Ok(None) if link.peer_closed => ControlFlow::Close,
             Ok(None) => ControlFlow::Continue,
             Ok(Some(call)) => {
                 let answer = MgmtConnection::carry_out(call, context);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -10,7 +10,7 @@
 
 mod rig;
 
-use mintgate::backend::{Endpoint, Limits, Pool};
+use mintgate::backend::{ConnectionLimits, Endpoint, Pool};
 use mintgate::client::{Client, OutgoingRequest, RequestHandle};
 use mintgate::core::{Command, Core};
 use mintgate::front::frames::{self, FrameConnection};
@@ -149,9 +149,9 @@
 impl Parts {
     fn new(worker: &Worker) -> Parts {
         let site = mintgate::settings::read_site(rig::settings().to_string().as_bytes()).unwrap();
-        let mut pool = Pool::new(Limits::of(&site), site.connect_limit, 64);
+        let mut pool = Pool::new(ConnectionLimits::of(&site), site.connect_limit, 64);
         let member = Member { worker: WorkerId(1), weight: 1.0, ..Member::default() };
-        pool.place(member.worker, Endpoint::Tcp(worker.address()), None);
+        pool.set_endpoint(member.worker, Endpoint::Tcp(worker.address()), None);
         let mut reactor = Reactor::new(SystemClock::new()).unwrap();
         reactor.ready = true;
         let mut core = Core::new(site, 7);
@@ -171,7 +171,7 @@
         near.set_nonblocking(true).unwrap();
         let stream = Stream::Unix(mio::net::UnixStream::from_std(near));
         let connection = Box::new(FrameConnection::new(since));
-        let id = self.reactor.add(stream, connection, true, frames::LIMITS, &mut self.core);
+        let id = self.reactor.add(stream, connection, true, frames::BUFFER_LIMITS, &mut self.core);
         (far, id.unwrap())
     }
 
@@ -203,12 +203,14 @@
         loop {
             match self.core.next_command() {
                 Some(Command::Answer { owner, answer }) => {
-                    self.reactor.with(owner.connection, &mut self.core, |connection, link, hub| {
-                        connection.answer(owner.stream, &answer, link, hub)
-                    });
+                    self.reactor.with_connection(
+                        owner.connection,
+                        &mut self.core,
+                        |connection, link, hub| connection.answer(owner.stream, &answer, link, hub),
+                    );
                 }
-                Some(command) => self.pool.command(command, &mut self.reactor, &mut self.core),
-                None if self.pool.proceed(&mut self.reactor, &mut self.core) => {}
+                Some(command) => self.pool.execute(command, &mut self.reactor, &mut self.core),
+                None if self.pool.write_next_attempt(&mut self.reactor, &mut self.core) => {}
                 None => return,
             }
         }
@@ -273,10 +275,10 @@
     let (mut first, asked) = parts.client();
     let (_second, idle) = parts.client();
     first.write_all(&plain(1)).unwrap();
-    assert!(parts.reactor.shed_idle(&mut parts.core));
+    assert!(parts.reactor.close_longest_idle(&mut parts.core));
     assert!(!parts.reactor.ids().contains(&idle), "the idle one goes");
     assert!(parts.reactor.ids().contains(&asked));
-    assert!(!parts.reactor.shed_idle(&mut parts.core), "there is no other");
+    assert!(!parts.reactor.close_longest_idle(&mut parts.core), "there is no other");
     parts.serve(1);
 }
 
@@ -287,13 +289,13 @@
     let mut parts = Parts::new(&worker);
     worker.serve(echo);
     // Its time is up as the first bytes come.
-    let since = parts.reactor.now() - frames::FIRST;
+    let since = parts.reactor.now() - frames::FIRST_FRAME_TIMEOUT;
     let (mut slow, half) = parts.client_since(since);
     let (whole, (_other, idle)) = (plain(1), parts.client());
     slow.write_all(&whole[..20]).unwrap();
     parts.turn();
     assert!(parts.reactor.ids().contains(&half), "not idle");
-    assert!(parts.reactor.shed_idle(&mut parts.core));
+    assert!(parts.reactor.close_longest_idle(&mut parts.core));
     assert!(!parts.reactor.ids().contains(&idle), "the idle one goes first, though it came later");
     slow.write_all(&whole[20..]).unwrap();
     parts.serve(1);
