--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -14,13 +14,13 @@
 const PROBE_TIMEOUT: Duration = Duration::millis(300);
 
 impl Core {
-    pub(super) fn step(&mut self, now: Timestamp, event: Event) {
+    pub(super) fn process_event(&mut self, now: Timestamp, event: Event) {
         self.backlog.push_back(event);
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// Gives the policy the events that wait for it and carries out what it decides, until none waits.
-    pub(super) fn settle(&mut self, now: Timestamp) {
+    pub(super) fn process_backlog(&mut self, now: Timestamp) {
         let mut actions = Vec::new();
         while let Some(event) = self.backlog.pop_front() {
             self.policy.handle(now, event, &mut actions);
@@ -31,8 +31,8 @@
         if !self.chain_steps.answers.is_empty() {
             self.run_chains(now, vec![]);
         }
-        self.note_list_validity(now);
-        self.check_sums(now);
+        self.update_list_validity(now);
+        self.check_totals(now);
         self.loads.rate.expire_arrivals(now, self.site.settings.rules.load_rate_limit);
     }
 
@@ -42,8 +42,8 @@
             Action::Cancel { id, attempt } => {
                 self.cancel_attempt(now, AttemptId { request: id, number: attempt });
             }
-            Action::Refuse { id, wait } => self.conclude(now, id, Verdict::Refused { cooldown: wait }),
-            Action::Fail { id } => self.conclude(now, id, Verdict::Failed),
+            Action::Refuse { id, wait } => self.finish_request(now, id, Verdict::Refused { cooldown: wait }),
+            Action::Fail { id } => self.finish_request(now, id, Verdict::Failed),
             Action::Load { worker, function, instances, part } => {
                 self.start_load(now, worker, function, instances, part);
             }
@@ -72,7 +72,7 @@
             worker = worker.0,
             "attempt"
         );
-        let entry = Attempt { worker, class, decided: now, deadline, written: None, allowed: false };
+        let entry = Attempt { worker, class, decided_at: now, deadline, written: None, allowed: false };
         self.attempts.insert(attempt, entry);
         self.timers.set(deadline, Timer::Attempt(attempt));
         self.commands.push_back(Command::Send { attempt, worker, work, deadline });
@@ -96,7 +96,7 @@
     ) {
         let load = LoadId { number: self.next_number(), lease: self.leases.fenced(Task::Renew, part) };
         self.counters.orders_begun += 1;
-        let entry = LoadRequest { worker, function, instances, decided: now, allowed: false };
+        let entry = LoadRequest { worker, function, instances, decided_at: now, allowed: false };
         self.loads.open.insert(load, entry);
         self.timers.set(now + self.site.load_wait, Timer::Load(load));
         self.commands.push_back(Command::Load { load, worker, function, instances });
@@ -119,8 +119,8 @@
     }
 
     /// Gives an accepted request a final answer other than a worker's.
-    pub(super) fn conclude(&mut self, now: Timestamp, id: RequestId, verdict: Verdict) {
-        let Some(accepted) = self.forget(id) else { return };
+    pub(super) fn finish_request(&mut self, now: Timestamp, id: RequestId, verdict: Verdict) {
+        let Some(accepted) = self.remove_request(id) else { return };
         let expired = now + self.site.settings.tick >= accepted.deadline;
         if let Verdict::Refused { .. } = verdict {
             self.count_rejection(&accepted.work.reference, RejectReason::Unplaced);
@@ -154,7 +154,7 @@
     }
 
     /// Removes a request with its timer.
-    pub(super) fn forget(&mut self, id: RequestId) -> Option<AcceptedRequest> {
+    pub(super) fn remove_request(&mut self, id: RequestId) -> Option<AcceptedRequest> {
         let accepted = self.requests.remove(id)?;
         self.timers.cancel(accepted.deadline + DEADLINE_GUARD, Timer::Request(id));
         Some(accepted)
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -40,7 +40,7 @@
         if let Some(reason) = self.reject_reason(now, &incoming) {
             return self.reject(&incoming, reason, self.default_cooldown());
         }
-        if let Some(cooldown) = self.sheds(now, class, incoming.owner) {
+        if let Some(cooldown) = self.shed_cooldown(now, class, incoming.owner) {
             return self.reject(&incoming, RejectReason::Shed, cooldown);
         }
         self.accept(now, class, incoming);
@@ -94,7 +94,7 @@
             }),
         };
         self.requests.insert(id, accepted);
-        self.step(now, Event::Request(request));
+        self.process_event(now, Event::Request(request));
     }
 
     /// Why a request cannot be accepted now, if it cannot.
--- a/src/core/chain_steps.rs
+++ b/src/core/chain_steps.rs
@@ -69,7 +69,7 @@
             chain::Do::Want(function, memory_mb) => {
                 // A client has named it; whether a load request is sent is decided by the policy and the rate limit.
                 self.loads.called.record(now, function);
-                self.step(now, Event::Wanted(function, memory_mb));
+                self.process_event(now, Event::Wanted(function, memory_mb));
             }
             chain::Do::Finish(owner, end) => {
                 match (&end.answer.verdict, end.short) {
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -92,7 +92,7 @@
 pub(super) struct Attempt {
     pub(super) worker: WorkerId,
     pub(super) class: usize,
-    pub(super) decided: Timestamp,
+    pub(super) decided_at: Timestamp,
     pub(super) deadline: Timestamp,
     pub(super) written: Option<Timestamp>,
     /// Its write check has let it pass.
--- a/src/core/cordons/tests.rs
+++ b/src/core/cordons/tests.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-const BOX: WorkerId = WorkerId(1);
+const WORKER: WorkerId = WorkerId(1);
 
 /// Calls and news in any order: what counts is the last call by hand, and an id that nobody has gets a no.
 #[test]
 fn a_ban_holds_until_the_call_back() {
     let mut cordons = Cordons::default();
-    let line = |state, started| Member { worker: BOX, state, started, ..Member::default() };
-    assert_eq!(cordons.cordon(BOX, false), CordonResult::Unknown);
-    assert_eq!(cordons.uncordon(Timestamp(1), BOX, false), CordonResult::Unknown);
-    assert_eq!(cordons.uncordon(Timestamp(1), BOX, true), CordonResult::Unchanged, "it was never out");
+    let line = |state, started| Member { worker: WORKER, state, started, ..Member::default() };
+    assert_eq!(cordons.cordon(WORKER, false), CordonResult::Unknown);
+    assert_eq!(cordons.uncordon(Timestamp(1), WORKER, false), CordonResult::Unknown);
+    assert_eq!(cordons.uncordon(Timestamp(1), WORKER, true), CordonResult::Unchanged, "it was never out");
     assert_eq!(
         cordons.applied_to(line(State::Ready, None)),
         line(State::Ready, None),
         "nor has it come back"
     );
-    assert_eq!(cordons.cordon(BOX, true), CordonResult::Changed);
-    assert_eq!(cordons.cordon(BOX, true), CordonResult::Unchanged);
+    assert_eq!(cordons.cordon(WORKER, true), CordonResult::Changed);
+    assert_eq!(cordons.cordon(WORKER, true), CordonResult::Unchanged);
     cordons.forget_gone(|_| false);
-    assert_eq!(cordons.cordon(BOX, false), CordonResult::Unchanged, "gone from the list, and still out");
+    assert_eq!(cordons.cordon(WORKER, false), CordonResult::Unchanged, "gone from the list, and still out");
     let again = line(State::Ready, Some(Timestamp(5)));
     assert_eq!(cordons.applied_to(again).state, State::Draining, "listed anew, and still out");
     assert_eq!(cordons.applied_to(line(State::Gone, None)).state, State::Gone);
     assert_eq!(
-        cordons.uncordon(Timestamp(9), BOX, false),
+        cordons.uncordon(Timestamp(9), WORKER, false),
         CordonResult::Changed,
         "one call back for two out"
     );
-    assert_eq!(cordons.uncordon(Timestamp(10), BOX, true), CordonResult::Unchanged);
+    assert_eq!(cordons.uncordon(Timestamp(10), WORKER, true), CordonResult::Unchanged);
     assert_eq!(
         cordons.applied_to(again),
         line(State::Ready, Some(Timestamp(9))),
--- a/src/core/fleet_leases.rs
+++ b/src/core/fleet_leases.rs
@@ -65,14 +65,14 @@
 impl Core {
     /// Another process of the fleet has probed a worker; it answered, or did not, at that time at the latest.
     pub fn peer_health(&mut self, now: Timestamp, worker: WorkerId, answers: bool, at: Timestamp) {
-        self.step(now, Event::PeerHealth(worker, answers, at));
+        self.process_event(now, Event::PeerHealth(worker, answers, at));
     }
 
     /// This process is one of a fleet whose tasks are cut into so many parts.
     pub fn join_fleet(&mut self, now: Timestamp, parts: u16, shed: bool) {
         self.leases.parts = parts;
         self.overload = shed.then(|| Overload::new(&self.site));
-        self.step(now, Event::Shares(Shares { parts, ..Shares::default() }));
+        self.process_event(now, Event::Shares(Shares { parts, ..Shares::default() }));
     }
 
     /// These processes of the fleet are gone now, and no others.
@@ -90,6 +90,6 @@
 
     fn update_shares(&mut self, now: Timestamp) {
         let shares = self.leases.shares();
-        self.step(now, Event::Shares(shares));
+        self.process_event(now, Event::Shares(shares));
     }
 }
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// Requests taken are not those answered, withdrawn and open together.
-    Calls,
+    Requests,
     /// Attempts begun are not those ended and open together.
     Attempts,
     /// Load requests begun are not those ended and open together.
@@ -36,7 +36,7 @@
 impl Violation {
     /// All of them.
     pub const ALL: [Violation; 10] = [
-        Violation::Calls,
+        Violation::Requests,
         Violation::Attempts,
         Violation::Loads,
         Violation::Tables,
@@ -51,7 +51,7 @@
     /// Its name in figures and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Violation::Calls => "calls",
+            Violation::Requests => "calls",
             Violation::Attempts => "attempts",
             Violation::Loads => "orders",
             Violation::Tables => "tables",
@@ -91,13 +91,13 @@
 }
 
 /// Sums that are checked: calls, attempts, load requests, and the two indices of the table of requests.
-const CHECKED_SUMS: usize = 5;
+const CHECKED_TOTALS: usize = 5;
 
-/// What the checks have found, and by how much the checked sums differed when they were looked at last.
+/// What the checks have found, and by how much the checked totals differed when they were looked at last.
 #[derive(Default)]
 pub(super) struct InvariantChecks {
     violations: Violations,
-    differences: [u64; CHECKED_SUMS],
+    differences: [u64; CHECKED_TOTALS],
 }
 
 impl Core {
@@ -115,7 +115,7 @@
     }
 
     /// Once everything that waited has been worked off, what was begun is ended or open.
-    pub(super) fn check_sums(&mut self, now: Timestamp) {
+    pub(super) fn check_totals(&mut self, now: Timestamp) {
         let counters = &self.counters;
         let answered = counters.served + counters.refused + counters.failed;
         let calls = (counters.taken, answered + counters.withdrawn + self.requests.len() as u64);
@@ -133,14 +133,14 @@
         let attempts = (counters.attempts, ends.iter().sum::<u64>() + self.attempts.len() as u64);
         let loads = (counters.orders_begun, counters.orders_ended + self.loads.open.len() as u64);
         let open = self.requests.len();
-        let sums: [_; CHECKED_SUMS] = [
-            (Violation::Calls, calls),
+        let totals: [_; CHECKED_TOTALS] = [
+            (Violation::Requests, calls),
             (Violation::Attempts, attempts),
             (Violation::Loads, loads),
             (Violation::Tables, (open as u64, self.requests.owner_count() as u64)),
             (Violation::Tables, (open as u64, self.requests.reference_count() as u64)),
         ];
-        for (place, (violation, (begun, ended))) in sums.into_iter().enumerate() {
+        for (place, (violation, (begun, ended))) in totals.into_iter().enumerate() {
             // Told once each time it becomes another difference, not at each event after it.
             let difference = begun.wrapping_sub(ended);
             let previous = std::mem::replace(&mut self.invariants.differences[place], difference);
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::Command;
 use crate::request::{IncomingRequest, Owner, Reply};
 
-const SITE: &str = r#"{"fleetSize": 1, "index": 0, "tickNs": 2000000, "classes": [
+const SITE_SETTINGS: &str = r#"{"fleetSize": 1, "index": 0, "tickNs": 2000000, "classes": [
     {"name": "safe", "deadlineNs": 3000000000, "effect": "retryable", "objectiveNs": 1000000000},
     {"name": "keyed", "deadlineNs": 3000000000, "effect": "dedup", "group": "all",
      "repeatWindowNs": 500000000, "objectiveNs": 1000000000},
@@ -17,7 +17,7 @@
 
 /// A scheduler with one worker and one open request, whose first attempt has not gone out.
 fn with_call(class: &str) -> (Core, AttemptId) {
-    let mut core = Core::new(crate::settings::read_site(SITE.as_bytes()).unwrap(), 7);
+    let mut core = Core::new(crate::settings::read_site(SITE_SETTINGS.as_bytes()).unwrap(), 7);
     let member = Member { worker: WorkerId(1), weight: 1.0, ..Member::default() };
     core.members(at(0), ListKind::Full, vec![member]);
     let call = IncomingRequest {
@@ -93,7 +93,7 @@
     let (mut core, attempt) = with_call("safe");
     assert!(core.may_write(at(1), attempt));
     // As if the withdrawal had forgotten to call the attempt off.
-    core.forget(attempt.request);
+    core.remove_request(attempt.request);
     core.written(at(2), attempt);
     assert_eq!(core.violations().of(Violation::SentAfterEnd), 1);
 }
@@ -126,7 +126,7 @@
     let twin = core.attempts.get(&first).map(|attempt| crate::core::command::Attempt {
         worker: attempt.worker,
         class: attempt.class,
-        decided: attempt.decided,
+        decided_at: attempt.decided_at,
         deadline: attempt.deadline,
         written: None,
         allowed: true,
@@ -156,7 +156,7 @@
 fn sums_that_do_not_add_up_are_seen() {
     type Spoil = fn(&mut Core);
     let cases: [(Violation, Spoil); 4] = [
-        (Violation::Calls, |core| core.counters.taken += 1),
+        (Violation::Requests, |core| core.counters.taken += 1),
         (Violation::Attempts, |core| core.counters.cancelled += 1),
         (Violation::Loads, |core| core.counters.orders_begun += 1),
         (Violation::Tables, |core| core.requests.clear_references()),
--- a/src/core/load_requests.rs
+++ b/src/core/load_requests.rs
@@ -14,7 +14,7 @@
     pub(super) worker: WorkerId,
     pub(super) function: FunctionId,
     pub(super) instances: u8,
-    pub(super) decided: Timestamp,
+    pub(super) decided_at: Timestamp,
     /// Its write check has let it pass.
     pub(super) allowed: bool,
 }
@@ -97,35 +97,35 @@
 
 /// Functions that clients have named lately, in two generations; only these are worth a load request.
 pub(super) struct CalledFunctions {
-    present: BTreeSet<FunctionId>,
+    current: BTreeSet<FunctionId>,
     previous: BTreeSet<FunctionId>,
-    present_since: Timestamp,
+    current_since: Timestamp,
 }
 
 impl Default for CalledFunctions {
     fn default() -> CalledFunctions {
-        CalledFunctions { present: BTreeSet::new(), previous: BTreeSet::new(), present_since: Timestamp(0) }
+        CalledFunctions { current: BTreeSet::new(), previous: BTreeSet::new(), current_since: Timestamp(0) }
     }
 }
 
 impl CalledFunctions {
     /// A client has named this function.
     pub(super) fn record(&mut self, now: Timestamp, function: FunctionId) {
-        let aged = now - self.present_since > CALLED_GENERATION_DURATION;
-        if aged || self.present.len() >= CALLED_GENERATION_SIZE {
-            self.present_since = now;
-            self.previous = std::mem::take(&mut self.present);
+        let aged = now - self.current_since > CALLED_GENERATION_DURATION;
+        if aged || self.current.len() >= CALLED_GENERATION_SIZE {
+            self.current_since = now;
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.present.insert(function);
+        self.current.insert(function);
     }
 
     pub(super) fn contains(&self, function: FunctionId) -> bool {
-        self.present.contains(&function) || self.previous.contains(&function)
+        self.current.contains(&function) || self.previous.contains(&function)
     }
 
     /// Both generations, the present one first.
     pub(super) fn iter(&self) -> impl Iterator<Item = FunctionId> + '_ {
-        self.present.iter().chain(&self.previous).copied()
+        self.current.iter().chain(&self.previous).copied()
     }
 
     /// Adds functions that another process of this scheduler has recorded.
--- a/src/core/log_limiter.rs
+++ b/src/core/log_limiter.rs
@@ -6,7 +6,7 @@
 /// Most log lines in a window.
 const MAX_LINES_PER_WINDOW: u32 = 10;
 /// The window of the count.
-const WINDOW: Duration = Duration::millis(1_000);
+const WINDOW_DURATION: Duration = Duration::millis(1_000);
 
 /// Counts the lines of the window that is running.
 pub(super) struct LogLimiter {
@@ -23,7 +23,7 @@
 impl LogLimiter {
     /// Whether one more line may be logged now; it counts in either case.
     pub(super) fn admits(&mut self, now: Timestamp) -> bool {
-        if now - self.window_start >= WINDOW {
+        if now - self.window_start >= WINDOW_DURATION {
             self.window_start = now;
             self.lines = 0;
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -159,7 +159,7 @@
         self.site = self.site.replaced_by(site, |place| open.contains(&place));
         self.policy.configure(self.site.settings.clone());
         self.rank_classes();
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// What has been counted so far.
@@ -207,12 +207,12 @@
             return self.run_chains(now, all);
         };
         self.counters.withdrawn += 1;
-        let accepted = self.forget(id);
+        let accepted = self.remove_request(id);
         if let Some(accepted) = &accepted {
             tracing::debug!(reference = %accepted.work.reference, "withdrawn");
         }
         self.record_unserved_step(now, accepted.as_ref());
-        self.step(now, Event::ClientGone(id));
+        self.process_event(now, Event::ClientGone(id));
     }
 
     /// The time given by [`Core::next_timeout`] has come.
@@ -228,15 +228,15 @@
                 }
             }
         }
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// Fails a request that the policy has not ended in time.
     fn fail_overdue(&mut self, now: Timestamp, id: RequestId) {
-        self.settle(now);
+        self.process_backlog(now);
         if self.requests.contains(id) {
             self.counters.overdue += 1;
-            self.conclude(now, id, Verdict::Failed);
+            self.finish_request(now, id, Verdict::Failed);
             self.backlog.push_back(Event::ClientGone(id));
         }
     }
--- a/src/core/outcomes.rs
+++ b/src/core/outcomes.rs
@@ -46,17 +46,17 @@
             self.serve(now, id, body);
         }
         self.end_attempt(now, id, status);
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// Answers a request with the body that an attempt of it has brought, unless it has been answered.
     fn serve(&mut self, now: Timestamp, id: AttemptId, body: Vec<u8>) {
-        let Some(accepted) = self.forget(id.request) else { return };
+        let Some(accepted) = self.remove_request(id.request) else { return };
         self.count_served(now);
         if accepted.owner.connection != chain::STEP
             && let Some(attempt) = self.attempts.get(&id)
         {
-            let latency = now - attempt.decided;
+            let latency = now - attempt.decided_at;
             self.chain_steps.machine.note(now, accepted.work.function, &accepted.work.class, latency);
         }
         self.answer(accepted.owner, Some(&accepted.work.class), Verdict::Served(body), false);
@@ -69,7 +69,7 @@
             self.counters.end(Status::NotSent);
             self.trace_end(id, Status::NotSent, "no longer allowed");
             self.end_attempt(now, id, Status::NotSent);
-            self.settle(now);
+            self.process_backlog(now);
         }
     }
 
@@ -80,13 +80,13 @@
         let result =
             end.unwrap_or_else(|broken| LoadResult { status: broken.progress.status(), instances: 0 });
         self.end_load(now, id, result);
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// A load request that never left, for a reason of our own; see [`Core::attempt_not_sent`].
     pub fn load_not_sent(&mut self, now: Timestamp, id: LoadId) {
         self.end_load(now, id, LoadResult { status: Status::NotSent, instances: 0 });
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// A probe has been answered, with a load report by names, or broke on the way.
@@ -99,13 +99,13 @@
         };
         let report = self.site.gauges.iter().map(value_of).collect();
         self.end_probe(id, status, report);
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// A probe that never left, for a reason of our own; see [`Core::attempt_not_sent`].
     pub fn probe_not_sent(&mut self, now: Timestamp, id: ProbeId) {
         self.end_probe(id, Status::NotSent, vec![]);
-        self.settle(now);
+        self.process_backlog(now);
     }
 
     /// How an attempt ended, for those who look for one request in the log.
@@ -123,7 +123,7 @@
             id: id.request,
             attempt: id.number,
             status,
-            latency: now - attempt.decided,
+            latency: now - attempt.decided_at,
             finished,
             instance: InstanceNote::Untold,
             company: 0,
@@ -141,14 +141,14 @@
         match status {
             Status::Ok => {}
             Status::NotSent => self.counters.probes_held += 1,
-            Status::Full => self.note_drain_seen(probe.worker),
+            Status::Full => self.record_rejected_probe(probe.worker),
             _ => self.counters.probes_unanswered += 1,
         }
         self.backlog.push_back(Event::Probed(probe.worker, status, report));
     }
 
     /// A worker that is listed as ready has said that it takes no work.
-    fn note_drain_seen(&mut self, worker: WorkerId) {
+    fn record_rejected_probe(&mut self, worker: WorkerId) {
         self.counters.probes_rejected += 1;
         if self.list_watch.is_unconfirmed() && !self.policy.is_away(worker) {
             tracing::warn!(worker = %format_args!("s-{:08x}", worker.0), "worker takes no work");
@@ -158,13 +158,13 @@
     pub(super) fn end_load(&mut self, now: Timestamp, id: LoadId, result: LoadResult) {
         let Some(load) = self.loads.open.remove(&id) else { return };
         self.counters.orders_ended += 1;
-        self.timers.cancel(load.decided + self.site.load_wait, Timer::Load(id));
+        self.timers.cancel(load.decided_at + self.site.load_wait, Timer::Load(id));
         self.backlog.push_back(Event::Loaded(Loaded {
             worker: load.worker,
             function: load.function,
             instances: result.instances,
             status: result.status,
-            latency: now - load.decided,
+            latency: now - load.decided_at,
         }));
     }
 }
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -44,7 +44,7 @@
     }
 
     /// The cooldown of a request that has just come in, if it is shed. Steps of a chain under way are not.
-    pub(super) fn sheds(&mut self, now: Timestamp, class: usize, owner: Owner) -> Option<Duration> {
+    pub(super) fn shed_cooldown(&mut self, now: Timestamp, class: usize, owner: Owner) -> Option<Duration> {
         let most = self.default_cooldown();
         let overload = self.overload.as_mut()?;
         let rank = overload.ranks.get(class).copied().unwrap_or_default();
--- a/src/core/state_transfer.rs
+++ b/src/core/state_transfer.rs
@@ -33,6 +33,6 @@
         let accept_times = state.accept_times.iter().map(|at| Timestamp(*at));
         self.loads.rate.take_over(now, load_times, accept_times);
         self.loads.called.take_over(state.called_functions.iter().map(|function| FunctionId(*function)));
-        self.step(now, Event::Members(ListKind::Full, self.workers.effective()));
+        self.process_event(now, Event::Members(ListKind::Full, self.workers.effective()));
     }
 }
--- a/src/core/stored_forms.rs
+++ b/src/core/stored_forms.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-const SITE: &str = r#"{"classes": [{"name": "safe", "deadlineNs": 3000000000, "effect": "retryable",
+const SITE_SETTINGS: &str = r#"{"classes": [{"name": "safe", "deadlineNs": 3000000000, "effect": "retryable",
     "objectiveNs": 1000000000}], "bounds": {"mostTries": 9, "mayCancel": true},
   "contract": {"coldFrom": 0.2, "coldNs": 9000000000, "fallMultiple": 3, "fallNs": 2000000000},
   "familyInfo": {"keepNs": 9000000000, "notLoaded": "load", "loadSpanNs": 0}}"#;
@@ -39,7 +39,7 @@
 }
 
 fn core() -> Core {
-    Core::new(crate::settings::read_site(SITE.as_bytes()).unwrap(), 7)
+    Core::new(crate::settings::read_site(SITE_SETTINGS.as_bytes()).unwrap(), 7)
 }
 
 #[test]
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -5,10 +5,10 @@
 use crate::fleet::lease::LeaseGrant;
 use proptest::prelude::*;
 
-const MS: fn(u64) -> Timestamp = |ms| Timestamp(1_000_000_000_000 + ms * 1_000_000);
-const FUNCTION: FunctionId = FunctionId(9);
+const AT_MS: fn(u64) -> Timestamp = |ms| Timestamp(1_000_000_000_000 + ms * 1_000_000);
+const CALLED_FUNCTION: FunctionId = FunctionId(9);
 
-const SITE: &str = r#"{"fleetSize": 1, "index": 0, "tickNs": 2000000, "classes": [
+const SITE_SETTINGS: &str = r#"{"fleetSize": 1, "index": 0, "tickNs": 2000000, "classes": [
     {"name": "safe", "deadlineNs": 3000000000, "effect": "retryable", "objectiveNs": 1000000000},
     {"name": "keyed", "deadlineNs": 3000000000, "effect": "dedup", "group": "all",
      "repeatWindowNs": 1000000000, "objectiveNs": 1000000000},
@@ -23,9 +23,9 @@
 }
 
 fn core() -> Core {
-    let mut core = Core::new(site(SITE), 7);
+    let mut core = Core::new(site(SITE_SETTINGS), 7);
     let member = |n| Member { worker: WorkerId(n), weight: 1.0, ..Member::default() };
-    core.members(MS(0), ListKind::Full, vec![member(1), member(2)]);
+    core.members(AT_MS(0), ListKind::Full, vec![member(1), member(2)]);
     core
 }
 
@@ -33,17 +33,17 @@
     let owner = Owner { connection: 1, stream };
     let (reference, class) = (format!("{stream:016x}"), class.to_owned());
     core.submit(
-        MS(0),
+        AT_MS(0),
         IncomingRequest {
             owner,
             reference,
             class,
-            function: FUNCTION,
+            function: CALLED_FUNCTION,
             key: None,
             memory_mb: 100.0,
             concurrency: 2.0,
             load_time: None,
-            deadline: MS(3000),
+            deadline: AT_MS(3000),
             body: vec![],
         },
     );
@@ -63,7 +63,10 @@
 }
 
 fn load(core: &mut Core, now: Timestamp) -> LoadId {
-    core.carry_out(now, &Action::Load { worker: WorkerId(1), function: FUNCTION, instances: 1, part: None });
+    core.carry_out(
+        now,
+        &Action::Load { worker: WorkerId(1), function: CALLED_FUNCTION, instances: 1, part: None },
+    );
     match core.next_command() {
         Some(Command::Load { load, .. }) => load,
         other => panic!("{other:?}"),
@@ -75,25 +78,25 @@
 fn what_queued_is_held_back_after_a_drain() {
     let mut core = core();
     let (attempt, worker) = sent(&call(&mut core, 1, "safe"));
-    let load = load(&mut core, MS(0));
+    let load = load(&mut core, AT_MS(0));
     let draining = |worker| Member { worker, state: State::Draining, ..Member::default() };
-    assert!(core.may_write(MS(9), attempt));
-    core.members(MS(10), ListKind::Delta, vec![draining(worker), draining(WorkerId(1))]);
-    assert!(!core.may_write(MS(11), attempt));
-    assert!(!core.may_write_load(MS(11), load));
-    core.members(MS(12), ListKind::Delta, vec![Member { worker, ..Member::default() }]);
-    assert!(core.may_write(MS(12), attempt));
-    core.members(MS(13), ListKind::Full, vec![]);
-    assert!(!core.may_write(MS(13), attempt), "absent from the whole list is gone");
+    assert!(core.may_write(AT_MS(9), attempt));
+    core.members(AT_MS(10), ListKind::Delta, vec![draining(worker), draining(WorkerId(1))]);
+    assert!(!core.may_write(AT_MS(11), attempt));
+    assert!(!core.may_write_load(AT_MS(11), load));
+    core.members(AT_MS(12), ListKind::Delta, vec![Member { worker, ..Member::default() }]);
+    assert!(core.may_write(AT_MS(12), attempt));
+    core.members(AT_MS(13), ListKind::Full, vec![]);
+    assert!(!core.may_write(AT_MS(13), attempt), "absent from the whole list is gone");
 }
 
 /// A core whose list follows discovery, which was not heard yet.
 fn following_core() -> Core {
-    let text = SITE.replace(r#""mayCancel": true"#, r#""mayCancel": true, "probes": true"#);
+    let text = SITE_SETTINGS.replace(r#""mayCancel": true"#, r#""mayCancel": true, "probes": true"#);
     let mut core = Core::new(site(&text), 7);
     let member = |n| Member { worker: WorkerId(n), weight: 1.0, ..Member::default() };
-    core.set_list_source(MS(0), true, BTreeSet::new());
-    core.members(MS(0), ListKind::Full, vec![member(1), member(2)]);
+    core.set_list_source(AT_MS(0), true, BTreeSet::new());
+    core.members(AT_MS(0), ListKind::Full, vec![member(1), member(2)]);
     core
 }
 
@@ -101,15 +104,15 @@
 #[test]
 fn what_queued_is_held_back_once_the_list_may_be_out_of_date() {
     let mut core = following_core();
-    core.discovery_received(MS(0), MS(0));
+    core.discovery_received(AT_MS(0), AT_MS(0));
     let (attempt, _) = sent(&call(&mut core, 1, "safe"));
-    let load = load(&mut core, MS(0));
+    let load = load(&mut core, AT_MS(0));
     // Valid for 1.25 s and 0.8 of a grace of 2 s.
-    assert!(core.may_write(MS(2850), attempt) && core.load_still_allowed(MS(2850), load));
-    assert!(!core.may_write(MS(2851), attempt) && !core.load_still_allowed(MS(2851), load));
-    assert!(!core.may_write_load(MS(2851), load));
-    core.discovery_received(MS(2900), MS(2900));
-    assert!(core.may_write(MS(2900), attempt) && core.may_write_load(MS(2900), load));
+    assert!(core.may_write(AT_MS(2850), attempt) && core.load_still_allowed(AT_MS(2850), load));
+    assert!(!core.may_write(AT_MS(2851), attempt) && !core.load_still_allowed(AT_MS(2851), load));
+    assert!(!core.may_write_load(AT_MS(2851), load));
+    core.discovery_received(AT_MS(2900), AT_MS(2900));
+    assert!(core.may_write(AT_MS(2900), attempt) && core.may_write_load(AT_MS(2900), load));
 }
 
 /// A drained worker says so when it is asked: the request goes elsewhere, and its one answer comes.
@@ -121,13 +124,17 @@
         other => panic!("{other:?}"),
     };
     let (probe, drained) = probe_of(&call(&mut core, 1, "safe"));
-    core.probe_ended(MS(2), probe, Err(Broken { progress: AttemptProgress::Answered, cause: "not alive" }));
+    core.probe_ended(
+        AT_MS(2),
+        probe,
+        Err(Broken { progress: AttemptProgress::Answered, cause: "not alive" }),
+    );
     let (probe, ready) = probe_of(&std::iter::from_fn(|| core.next_command()).collect::<Vec<_>>());
     assert_ne!(ready, drained);
-    core.probe_ended(MS(4), probe, Ok(vec![]));
+    core.probe_ended(AT_MS(4), probe, Ok(vec![]));
     let (attempt, worker) = sent(&std::iter::from_fn(|| core.next_command()).collect::<Vec<_>>());
     assert_eq!(worker, ready);
-    assert!(core.may_write(MS(5), attempt));
+    assert!(core.may_write(AT_MS(5), attempt));
     assert_eq!((core.counters().probes_rejected, core.counters().probes_unanswered), (1, 0));
 }
 
@@ -138,31 +145,31 @@
     let mut core = core();
     let (attempt, worker) = sent(&call(&mut core, 1, "safe"));
     let (open, home) = sent(&call(&mut core, 2, "safe"));
-    core.written(MS(1), open);
-    let load = load(&mut core, MS(1));
+    core.written(AT_MS(1), open);
+    let load = load(&mut core, AT_MS(1));
     let ready = |worker| Member { worker, weight: 1.0, ..Member::default() };
     for worker in [worker, home, WorkerId(1)] {
-        core.cordon(MS(2), worker);
+        core.cordon(AT_MS(2), worker);
     }
-    assert!(!core.may_write(MS(2), attempt) && !core.may_write_load(MS(2), load));
+    assert!(!core.may_write(AT_MS(2), attempt) && !core.may_write_load(AT_MS(2), load));
     // Gone, back under another address, and the whole list anew: it stays out.
-    core.members(MS(3), ListKind::Delta, vec![Member { state: State::Gone, ..ready(worker) }]);
-    core.members(MS(4), ListKind::Delta, vec![Member { started: Some(MS(3)), ..ready(worker) }]);
-    core.members(MS(5), ListKind::Full, vec![ready(WorkerId(1)), ready(WorkerId(2))]);
-    core.replace_site(MS(6), site(SITE));
-    assert!(!core.may_write(MS(7), attempt) && !core.may_write_load(MS(7), load));
+    core.members(AT_MS(3), ListKind::Delta, vec![Member { state: State::Gone, ..ready(worker) }]);
+    core.members(AT_MS(4), ListKind::Delta, vec![Member { started: Some(AT_MS(3)), ..ready(worker) }]);
+    core.members(AT_MS(5), ListKind::Full, vec![ready(WorkerId(1)), ready(WorkerId(2))]);
+    core.replace_site(AT_MS(6), site(SITE_SETTINGS));
+    assert!(!core.may_write(AT_MS(7), attempt) && !core.may_write_load(AT_MS(7), load));
     // What was open there fails: its repeat goes elsewhere.
     while core.next_command().is_some() {}
-    core.attempt_ended(MS(8), open, broken(AttemptProgress::Out));
+    core.attempt_ended(AT_MS(8), open, broken(AttemptProgress::Out));
     let other = std::iter::from_fn(|| core.next_command()).find_map(|command| match command {
         Command::Send { worker, .. } => Some(worker),
         _ => None,
     });
     assert!(other.is_none_or(|other| other != home && other != worker), "{other:?}");
-    core.uncordon(MS(9), worker);
+    core.uncordon(AT_MS(9), worker);
     let renewed = |c: &Command| matches!(c, Command::Renew { worker: w } if *w == worker);
     assert!(std::iter::from_fn(|| core.next_command()).any(|c| renewed(&c)));
-    assert_eq!(core.workers.cordons.applied_to(ready(worker)).started, Some(MS(9)), "cold");
+    assert_eq!(core.workers.cordons.applied_to(ready(worker)).started, Some(AT_MS(9)), "cold");
     assert!(core.workers.accepts_work(worker));
 }
 
@@ -175,8 +182,8 @@
     fn any_order_of_events_leaves_one_answer_each(
         ops in prop::collection::vec((0u8..9, 0u64..6, 0u64..64, 0u8..12), 1..120)
     ) {
-        let (mut core, mut now, mut stream) = (core(), MS(0), 10);
-        let retuned = SITE.replace("retryable", "fragile").replace("\"mostTries\": 9", "\"mostTries\": 2");
+        let (mut core, mut now, mut stream) = (core(), AT_MS(0), 10);
+        let retuned = SITE_SETTINGS.replace("retryable", "fragile").replace("\"mostTries\": 9", "\"mostTries\": 2");
         let mut open: Vec<AttemptId> = vec![];
         let mut loads: Vec<LoadId> = vec![];
         let (mut asked, mut answered) = (BTreeSet::new(), BTreeSet::new());
@@ -185,7 +192,7 @@
             zone: ZoneId(c % 2),
             state: [State::Ready, State::Draining, State::Gone][usize::from(c % 3)],
             weight: [1.0, 0.0, 1e9][usize::from(c % 3)],
-            started: [None, Some(now), Some(MS(1 << 40))][b as usize % 3],
+            started: [None, Some(now), Some(AT_MS(1 << 40))][b as usize % 3],
             ..Member::default()
         };
         for (op, a, b, c) in ops {
@@ -236,7 +243,7 @@
                     now = now + Duration::millis(b * b);
                     core.on_timeout(now);
                 }
-                6 => core.replace_site(now, site(if c % 2 == 0 { SITE } else { &retuned })),
+                6 => core.replace_site(now, site(if c % 2 == 0 { SITE_SETTINGS } else { &retuned })),
                 7 if stream > 10 => {
                     // Whoever withdraws is owed nothing, whether the answer was on its way or not.
                     let owner = Owner { connection: 1, stream: 11 + b % (stream - 10) };
@@ -288,37 +295,37 @@
     for stream in 0..10 {
         call(&mut core, stream, "safe");
     }
-    let loads: Vec<LoadId> = (0..9).map(|_| load(&mut core, MS(0))).collect();
-    let written = loads.iter().filter(|load| core.may_write_load(MS(1), **load)).count();
+    let loads: Vec<LoadId> = (0..9).map(|_| load(&mut core, AT_MS(0))).collect();
+    let written = loads.iter().filter(|load| core.may_write_load(AT_MS(1), **load)).count();
     assert_eq!(written, 6, "3 and 30% of 10");
-    let late = load(&mut core, MS(5002));
-    assert!(core.may_write_load(MS(5002), late), "the window has moved on");
+    let late = load(&mut core, AT_MS(5002));
+    assert!(core.may_write_load(AT_MS(5002), late), "the window has moved on");
 }
 
 #[test]
 fn only_functions_that_were_called_are_loaded() {
     let mut core = core();
-    let load = load(&mut core, MS(0));
-    assert!(!core.may_write_load(MS(0), load));
+    let load = load(&mut core, AT_MS(0));
+    assert!(!core.may_write_load(AT_MS(0), load));
 }
 
 /// The window counts from the first attempt that may have run, not from the latest.
 #[test]
 fn repeats_that_queued_keep_to_their_class() {
     let cases = [
-        ("keyed", AttemptProgress::Out, MS(900), true),
-        ("keyed", AttemptProgress::Out, MS(960), false),
+        ("keyed", AttemptProgress::Out, AT_MS(900), true),
+        ("keyed", AttemptProgress::Out, AT_MS(960), false),
         // The bytes may take 100 ms to go, and must have gone by the end of the window.
-        ("keyed", AttemptProgress::Out, MS(905), false),
-        ("keyed", AttemptProgress::PartlyWritten, MS(2000), true),
-        ("safe", AttemptProgress::Out, MS(2000), true),
-        ("unsafe", AttemptProgress::PartlyWritten, MS(2000), true),
+        ("keyed", AttemptProgress::Out, AT_MS(905), false),
+        ("keyed", AttemptProgress::PartlyWritten, AT_MS(2000), true),
+        ("safe", AttemptProgress::Out, AT_MS(2000), true),
+        ("unsafe", AttemptProgress::PartlyWritten, AT_MS(2000), true),
     ];
     for (class, progress, at, allowed) in cases {
         let mut core = core();
         let (first, _) = sent(&call(&mut core, 1, class));
-        core.written(MS(1), first);
-        core.attempt_ended(MS(2), first, broken(progress));
+        core.written(AT_MS(1), first);
+        core.attempt_ended(AT_MS(2), first, broken(progress));
         let commands: Vec<_> = std::iter::from_fn(|| core.next_command()).collect();
         assert_eq!(core.may_write(at, sent(&commands).0), allowed, "{class} {progress:?}");
     }
@@ -330,10 +337,10 @@
 fn what_never_left_is_not_held_against_its_worker() {
     let mut core = core();
     let (first, worker) = sent(&call(&mut core, 1, "safe"));
-    core.attempt_not_sent(MS(1), first);
+    core.attempt_not_sent(AT_MS(1), first);
     let (again, at) = sent(&std::iter::from_fn(|| core.next_command()).collect::<Vec<_>>());
     assert_eq!(at, worker, "the function's home still");
-    core.attempt_ended(MS(2), again, broken(AttemptProgress::NotSent));
+    core.attempt_ended(AT_MS(2), again, broken(AttemptProgress::NotSent));
     let (_, at) = sent(&std::iter::from_fn(|| core.next_command()).collect::<Vec<_>>());
     assert_ne!(at, worker, "it refused a connection");
 }
@@ -341,11 +348,12 @@
 /// A new configuration brings other rules: they bind whoever comes after it, and nobody who came before.
 #[test]
 fn calls_keep_the_class_in_which_they_were_taken() {
-    let retuned = SITE.replace("retryable", "fragile").replace("\"mostTries\": 9", "\"mostTries\": 1");
+    let retuned =
+        SITE_SETTINGS.replace("retryable", "fragile").replace("\"mostTries\": 9", "\"mostTries\": 1");
     let retuned = retuned.replace("keyed", "other");
     let fails = |core: &mut Core, stream, attempt| {
-        core.written(MS(1), attempt);
-        core.attempt_ended(MS(2), attempt, broken(AttemptProgress::Out));
+        core.written(AT_MS(1), attempt);
+        core.attempt_ended(AT_MS(2), attempt, broken(AttemptProgress::Out));
         let commands: Vec<_> = std::iter::from_fn(|| core.next_command()).collect();
         let answer = |c: &Command| matches!(c, Command::Answer { owner, .. } if owner.stream == stream);
         (commands.iter().any(answer), commands)
@@ -353,7 +361,7 @@
     let mut core = core();
     let (before, _) = sent(&call(&mut core, 1, "safe"));
     let (keyed, _) = sent(&call(&mut core, 2, "keyed"));
-    core.replace_site(MS(0), site(&retuned));
+    core.replace_site(AT_MS(0), site(&retuned));
     let (after, _) = sent(&call(&mut core, 3, "safe"));
     assert!(matches!(
         &call(&mut core, 4, "keyed")[..],
@@ -361,14 +369,14 @@
     ));
     assert!(fails(&mut core, 3, after).0, "unsafe, and one attempt");
     let (answered, commands) = fails(&mut core, 1, before);
-    assert!(!answered && core.may_write(MS(3), sent(&commands).0), "safe, and more attempts");
+    assert!(!answered && core.may_write(AT_MS(3), sent(&commands).0), "safe, and more attempts");
     let (answered, commands) = fails(&mut core, 2, keyed);
-    assert!(!answered && core.may_write(MS(3), sent(&commands).0), "inside its window");
+    assert!(!answered && core.may_write(AT_MS(3), sent(&commands).0), "inside its window");
     // The places are used again: configurations that come and go leave nothing behind.
     let again = sent(&commands).0;
-    core.attempt_ended(MS(4), again, Ok(Reply::Ok(vec![])));
+    core.attempt_ended(AT_MS(4), again, Ok(Reply::Ok(vec![])));
     for round in 0..20 {
-        core.replace_site(MS(5), site(if round % 2 == 0 { SITE } else { &retuned }));
+        core.replace_site(AT_MS(5), site(if round % 2 == 0 { SITE_SETTINGS } else { &retuned }));
     }
     assert!(core.site.classes.len() <= 7, "{:?}", core.site.classes);
     let figures = core.figures();
@@ -380,7 +388,7 @@
 fn lines_that_clients_cause_are_bounded() {
     let mut core = core();
     let lines: Vec<usize> =
-        [0, 1_000, 1_500].map(|ms| (0..25).filter(|_| core.may_log(MS(ms))).count()).to_vec();
+        [0, 1_000, 1_500].map(|ms| (0..25).filter(|_| core.may_log(AT_MS(ms))).count()).to_vec();
     assert_eq!((lines, core.counters().unlogged), (vec![10, 10, 0], 55));
 }
 
@@ -390,9 +398,9 @@
     let mut core = core();
     call(&mut core, 1, "safe");
     core.policy = Policy::new(core.site.settings.clone(), 1);
-    core.on_timeout(MS(3019));
+    core.on_timeout(AT_MS(3019));
     assert_eq!(core.outstanding(), 1);
-    core.on_timeout(MS(3021));
+    core.on_timeout(AT_MS(3021));
     let answers =
         |c: &Command| matches!(c, Command::Answer { answer, .. } if answer.verdict == Verdict::Failed);
     assert_eq!(std::iter::from_fn(|| core.next_command()).filter(answers).count(), 1);
@@ -403,15 +411,15 @@
 fn a_call_has_one_answer_whatever_still_comes() {
     let mut core = core();
     let (first, worker) = sent(&call(&mut core, 1, "safe"));
-    core.written(MS(1), first);
-    core.on_timeout(MS(2999));
+    core.written(AT_MS(1), first);
+    core.on_timeout(AT_MS(2999));
     let answers = |core: &mut Core| {
         std::iter::from_fn(|| core.next_command()).filter(|c| matches!(c, Command::Answer { .. })).count()
     };
     assert_eq!(answers(&mut core), 1, "at its end");
-    core.attempt_ended(MS(3000), first, Ok(Reply::Ok(vec![])));
-    core.members(MS(3000), ListKind::Delta, vec![Member { worker, ..Member::default() }]);
-    core.on_timeout(MS(9000));
+    core.attempt_ended(AT_MS(3000), first, Ok(Reply::Ok(vec![])));
+    core.members(AT_MS(3000), ListKind::Delta, vec![Member { worker, ..Member::default() }]);
+    core.on_timeout(AT_MS(9000));
     assert_eq!((answers(&mut core), core.outstanding()), (0, 0));
     let commands = call(&mut core, 2, "no such class");
     assert!(matches!(&commands[..], [Command::Answer { answer, .. }] if answer.verdict == Verdict::Failed));
@@ -421,20 +429,20 @@
 #[test]
 fn what_the_fleet_sheds_is_refused_at_once_and_what_is_let_in_is_counted() {
     let mut core = core();
-    core.join_fleet(MS(0), 1, true);
+    core.join_fleet(AT_MS(0), 1, true);
     let level = |fence, part| crate::fleet::overload::AdmissionLevel { fence, by: 0, admit: [part; 4] };
-    assert!(core.follow(level(3, 0), MS(0)));
+    assert!(core.follow(level(3, 0), AT_MS(0)));
     let commands = call(&mut core, 1, "safe");
     let [Command::Answer { answer, .. }] = &commands[..] else { panic!("{commands:?}") };
     assert!(matches!(answer.verdict, Verdict::Refused { .. }) && !answer.expired);
     assert_eq!((core.outstanding(), core.counters().shed, core.counters().refused), (0, 1, 1));
-    assert!(!core.follow(level(2, 255), MS(1)), "an earlier controller");
-    assert!(core.follow(level(3, 255), MS(1)));
+    assert!(!core.follow(level(2, 255), AT_MS(1)), "an earlier controller");
+    assert!(core.follow(level(3, 255), AT_MS(1)));
     assert!(call(&mut core, 2, "safe").iter().any(|command| matches!(command, Command::Send { .. })));
-    let demand = core.demand(MS(2));
+    let demand = core.demand(AT_MS(2));
     assert_eq!((demand.offered.iter().sum::<u16>(), demand.served, demand.open), (2, 0, 1));
-    core.on_timeout(MS(9_000));
-    assert_eq!(core.demand(MS(9_000)).open, 0, "given up is not open");
+    core.on_timeout(AT_MS(9_000));
+    assert_eq!(core.demand(AT_MS(9_000)).open, 0, "given up is not open");
 }
 
 /// What was decided under a lease goes out under that hold of it, with time left, and under no later one: a
@@ -443,35 +451,36 @@
 fn what_queued_under_a_lease_is_held_back_once_that_hold_has_ended() {
     let mut core = core();
     call(&mut core, 1, "safe");
-    core.join_fleet(MS(0), 2, false);
-    let grant = |fence, ms| Some(LeaseGrant { fence, until: MS(ms) });
+    core.join_fleet(AT_MS(0), 2, false);
+    let grant = |fence, ms| Some(LeaseGrant { fence, until: AT_MS(ms) });
     let decide = |core: &mut Core| {
         while core.next_command().is_some() {}
-        core.carry_out(MS(1), &Action::Probe { worker: WorkerId(1), part: Some(1) });
+        core.carry_out(AT_MS(1), &Action::Probe { worker: WorkerId(1), part: Some(1) });
         let Some(Command::Probe { probe, .. }) = core.next_command() else { panic!("a probe") };
-        let load = Action::Load { worker: WorkerId(1), function: FUNCTION, instances: 1, part: Some(1) };
-        core.carry_out(MS(1), &load);
+        let load =
+            Action::Load { worker: WorkerId(1), function: CALLED_FUNCTION, instances: 1, part: Some(1) };
+        core.carry_out(AT_MS(1), &load);
         let Some(Command::Load { load, .. }) = core.next_command() else { panic!("an order") };
         (probe, load)
     };
     let may = |core: &mut Core, ms, (probe, load): (ProbeId, LoadId)| {
-        let may = core.may_write_probe(MS(ms), probe);
-        assert_eq!(core.may_write_load(MS(ms), load), may);
+        let may = core.may_write_probe(AT_MS(ms), probe);
+        assert_eq!(core.may_write_load(AT_MS(ms), load), may);
         may
     };
     for task in Task::PARTITIONED {
-        core.set_lease(MS(0), task, 1, grant(5, 1_000));
-        core.set_lease(MS(0), task, 0, grant(9, 9_000));
+        core.set_lease(AT_MS(0), task, 1, grant(5, 1_000));
+        core.set_lease(AT_MS(0), task, 0, grant(9, 9_000));
     }
     let decided = decide(&mut core);
     assert!(may(&mut core, 900, decided));
     assert!(!may(&mut core, 1_000 - LEASE_MARGIN.0 / 1_000_000, decided), "too close to its end");
-    Task::PARTITIONED.iter().for_each(|task| core.set_lease(MS(10), *task, 1, grant(5, 2_000)));
+    Task::PARTITIONED.iter().for_each(|task| core.set_lease(AT_MS(10), *task, 1, grant(5, 2_000)));
     assert!(may(&mut core, 1_500, decided), "renewed");
-    Task::PARTITIONED.iter().for_each(|task| core.set_lease(MS(20), *task, 1, None));
+    Task::PARTITIONED.iter().for_each(|task| core.set_lease(AT_MS(20), *task, 1, None));
     assert!(!may(&mut core, 30, decided), "given back");
     let homeless = decide(&mut core);
-    Task::PARTITIONED.iter().for_each(|task| core.set_lease(MS(40), *task, 1, grant(6, 3_000)));
+    Task::PARTITIONED.iter().for_each(|task| core.set_lease(AT_MS(40), *task, 1, grant(6, 3_000)));
     assert!(!may(&mut core, 50, decided), "won again, under another fence");
     assert!(!may(&mut core, 50, homeless), "decided while nothing was held");
     let again = decide(&mut core);
@@ -484,21 +493,21 @@
 fn what_never_ran_leaves_the_window_of_what_may_have() {
     let mut core = core();
     let (first, _) = sent(&call(&mut core, 1, "keyed"));
-    core.written(MS(5), first);
-    core.attempt_ended(MS(5), first, broken(AttemptProgress::Out));
+    core.written(AT_MS(5), first);
+    core.attempt_ended(AT_MS(5), first, broken(AttemptProgress::Out));
     let all: Vec<Command> = std::iter::from_fn(|| core.next_command()).collect();
     let (second, _) = sent(&all);
-    assert!(core.may_write(MS(5), second));
-    core.written(MS(5), second);
-    core.attempt_ended(MS(500), second, Ok(Reply::Full));
-    let (mut now, mut all) = (MS(500), vec![]);
+    assert!(core.may_write(AT_MS(5), second));
+    core.written(AT_MS(5), second);
+    core.attempt_ended(AT_MS(500), second, Ok(Reply::Full));
+    let (mut now, mut all) = (AT_MS(500), vec![]);
     while !all.iter().any(|command| matches!(command, Command::Send { .. })) {
         all.extend(std::iter::from_fn(|| core.next_command()));
         now = now + Duration::millis(10);
         core.on_timeout(now);
-        assert!(now < MS(1000), "there is time for a third");
+        assert!(now < AT_MS(1000), "there is time for a third");
     }
     let (third, _) = sent(&all);
     assert!(core.may_write(now, third));
-    assert!(!core.may_write(MS(1000), third), "the window of the first has passed");
+    assert!(!core.may_write(AT_MS(1000), third), "the window of the first has passed");
 }
--- a/src/core/worker_updates.rs
+++ b/src/core/worker_updates.rs
@@ -12,7 +12,7 @@
         self.workers.update(kind, &members);
         self.counters.list_events += 1;
         let members = members.into_iter().map(|member| self.workers.cordons.applied_to(member)).collect();
-        self.step(now, Event::Members(kind, members));
+        self.process_event(now, Event::Members(kind, members));
     }
 
     /// Discovery has gone out of reach.
@@ -26,32 +26,32 @@
     pub fn discovery_received(&mut self, now: Timestamp, at: Timestamp) {
         self.list_watch.discovery_lost = false;
         if !self.list_watch.is_distributed {
-            self.step(now, Event::ListSource(ListSource::Received { at }));
+            self.process_event(now, Event::ListSource(ListSource::Received { at }));
         }
     }
 
     /// Discovery was asked on a new connection.
     pub fn discovery_resubscribed(&mut self, now: Timestamp) {
         if !self.list_watch.is_distributed {
-            self.step(now, Event::ListSource(ListSource::Resubscribed));
+            self.process_event(now, Event::ListSource(ListSource::Resubscribed));
         }
     }
 
     /// The list comes from the domain from now on; what discovery says counts no longer.
     pub fn list_confirmed_by_domain(&mut self, now: Timestamp, at: Timestamp) {
         self.list_watch.is_distributed = true;
-        self.step(now, Event::ListSource(ListSource::Confirmed { at }));
+        self.process_event(now, Event::ListSource(ListSource::Confirmed { at }));
     }
 
     /// The list follows a source that may go out of reach; these workers are not of it. Where there is no source, the list is
     /// valid for as long as nobody changes it.
     pub fn set_list_source(&mut self, now: Timestamp, follows: bool, fixed: BTreeSet<WorkerId>) {
         let source = if follows { ListSource::Followed { fixed } } else { ListSource::Fixed };
-        self.step(now, Event::ListSource(source));
+        self.process_event(now, Event::ListSource(source));
     }
 
     /// Notes and logs that the list has become valid, or is no longer.
-    pub(super) fn note_list_validity(&mut self, now: Timestamp) {
+    pub(super) fn update_list_validity(&mut self, now: Timestamp) {
         match self.list_watch.observe(now, self.policy.list_is_valid(now)) {
             None => {}
             Some(ListChange::Confirmed(after)) => {
@@ -108,7 +108,7 @@
             self.commands.push_back(Command::Renew { worker });
         }
         if let Some(member) = self.workers.effective_of(worker) {
-            self.step(now, Event::Members(ListKind::Delta, vec![member]));
+            self.process_event(now, Event::Members(ListKind::Delta, vec![member]));
         }
         result
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the decisions: settings, events, actions. No decisions.
+//! The policy's inputs and outputs: settings, events and actions. Makes no decisions.
 
 mod ids;
 mod settings;
@@ -13,20 +13,20 @@
     /// May be sent work.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new.
+    /// Finishes the requests that it has and accepts no new ones.
     Draining,
-    /// Taken away.
+    /// Removed from the list.
     Gone,
 }
 
-/// A line of the list of workers.
+/// An entry of the list of workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Member {
     /// Which worker.
     pub worker: WorkerId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its cell: workers that drop repeats of the same keys.
+    /// Its cell: a group of workers that deduplicate each other's keyed requests.
     pub cell: CellId,
     /// Its state.
     pub state: State,
@@ -34,71 +34,71 @@
     pub weight: f64,
     /// When it last started; absent means long ago.
     pub started: Option<Timestamp>,
-    /// What machine it is.
+    /// Its kind of machine.
     pub kind: KindId,
 }
 
 /// How a list update relates to the list already held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Changed entries only.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as last held, perhaps stale.
+    /// The complete list as last known, possibly stale.
     Cached,
     /// A request failed; nothing changes.
     Failed,
 }
 
-/// What becomes of the source of the list of workers, which may be out of reach.
+/// State of the source of the list of workers, which may be unreachable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// From now on the list follows a source that changes it. Before that, and where there is none, nobody knows
-    /// more than the list.
+    /// From now on the list follows a source that changes it. Until then, and without a source, the list itself is
+    /// the best information there is.
     Followed {
-        /// Workers that are not of that list.
+        /// Workers that are in the list but not managed by the source.
         fixed: BTreeSet<WorkerId>,
     },
-    /// Nothing changes the list any more but who gives it.
+    /// The list has no source any more; it changes only when the caller replaces it.
     Fixed,
-    /// The source was heard: the list was complete at that time.
+    /// A message arrived from the source: the list was complete at that time.
     Received {
         /// When.
         at: Timestamp,
     },
-    /// A domain confirmed the list: its publisher's discovery was heard at that time, or earlier by no more than
-    /// [`DISCOVERY_HEARTBEAT_ALLOWANCE`].
+    /// A domain confirmed the list: its publisher received a message from discovery at that time, or earlier by no more
+    /// than [`DISCOVERY_HEARTBEAT_ALLOWANCE`].
     Confirmed {
         /// When.
         at: Timestamp,
     },
-    /// It was asked anew and has not answered yet.
+    /// A new subscription was made, and the source has not answered it yet.
     Resubscribed,
 }
 
-/// Tasks of a whole fleet; one scheduler at a time does each part of one.
+/// Tasks done once for a whole fleet; each part of a task is done by one scheduler at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u16)]
 pub enum Task {
     /// Health checks of workers.
     Probe,
-    /// Renewing the gold instances of schedulers that are gone.
+    /// Renewing the keep-alives of gold functions for schedulers that are gone.
     Renew,
-    /// Deciding how much of each class all schedulers admit; one part, where there is one.
+    /// Deciding how much of each class all schedulers admit; has at most one part.
     Shed,
-    /// Publishing the list of workers and the classes to all of a domain; one part, where there is one.
+    /// Publishing the list of workers and the classes to a whole domain; has at most one part.
     Publish,
 }
 
 impl Task {
-    /// All of them, in the order in which leases are numbered: a new one comes last.
+    /// All tasks. Lease numbers depend on this order, so a new task is appended.
     pub const ALL: [Task; 4] = [Task::Probe, Task::Renew, Task::Shed, Task::Publish];
 
-    /// Those that are cut into parts.
+    /// Tasks that are divided into several parts.
     pub const PARTITIONED: [Task; 2] = [Task::Probe, Task::Renew];
 
-    /// As operators read it.
+    /// Name in log lines and operator output.
     pub fn name(self) -> &'static str {
         match self {
             Task::Probe => "probe",
@@ -109,22 +109,23 @@
     }
 }
 
-/// What one scheduler does for all of its fleet.
+/// The parts of the fleet's tasks that one scheduler holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shares {
     /// Parts into which each task is divided; 0 where there is no fleet.
     pub parts: u16,
-    /// The parts that this scheduler has now.
+    /// The parts that this scheduler holds now.
     pub own: BTreeSet<(Task, u16)>,
     /// Indices of schedulers that are gone.
     pub gone: BTreeSet<u32>,
 }
 
 impl Shares {
-    /// Largest number of parts of a task.
+    /// Largest number of parts of a task; lease numbers are computed with it.
     pub const MAX_PARTS: u16 = 64;
 
-    /// The part of [`Task::Renew`] under which this scheduler renews the gold instances of another that is gone.
+    /// The part of [`Task::Renew`] under which this scheduler stands in for the scheduler of this index. `None` unless
+    /// that one is gone and this one holds the part.
     pub fn stand_in_part(&self, index: u32) -> Option<u16> {
         let part = (index % u32::from(self.parts.max(1))) as u16;
         Some(part).filter(|part| self.gone.contains(&index) && self.own.contains(&(Task::Renew, *part)))
@@ -138,15 +139,15 @@
     Ok,
     /// The worker failed; the request may have run.
     Error,
-    /// Rejected unseen.
+    /// Rejected without being run.
     Full,
     /// No answer in time.
     Timeout,
     /// No connection was made; never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled; the request may have run.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -155,7 +156,7 @@
 }
 
 impl std::fmt::Debug for Status {
-    /// The word under which log lines show the outcome.
+    /// The name of the status in log lines.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Status::Ok => "Ok",
@@ -165,7 +166,7 @@
             Status::ConnectFailed => "ConnectFailed",
             Status::Reset => "Reset",
             Status::Cancelled => "Cancelled",
-            // The word that log readers know.
+            // The established name in log lines.
             Status::NotSent => "Moot",
             Status::Miss => "Miss",
         })
@@ -179,22 +180,22 @@
     }
 }
 
-/// What an answer says of the instance that served it.
+/// What an answer reports about the instance that served the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceNote {
-    /// Nothing.
+    /// Not reported.
     Untold,
-    /// An instance was warm.
+    /// A warm instance served it.
     Stood,
-    /// The request began a load.
+    /// The request started a load.
     BeganLoad,
-    /// It waited for a load begun before.
+    /// The request waited for a load that was already under way.
     WaitedForLoad,
     /// The load failed.
     LoadFailed,
 }
 
-/// A request that has come in.
+/// A request that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     /// Its id.
@@ -211,7 +212,7 @@
     pub memory_mb: f64,
     /// Requests that one instance runs at a time.
     pub concurrency: f64,
-    /// Usual time of a load, where known.
+    /// Typical duration of a load, where known.
     pub load_time: Option<Duration>,
 }
 
@@ -226,11 +227,11 @@
     pub status: Status,
     /// Time since it was sent.
     pub latency: Duration,
-    /// The request has ended with it, or before.
+    /// Whether the request has its final answer, from this attempt or before it.
     pub finished: bool,
-    /// What is said of the instance.
+    /// What the answer reports about the instance.
     pub instance: InstanceNote,
-    /// Requests of the same function there when this one came.
+    /// Requests of the same function at the worker when this one arrived.
     pub company: u32,
     /// Load report as listed in [`Settings::gauges`]; often empty.
     pub report: Vec<f32>,
@@ -251,38 +252,38 @@
     pub latency: Duration,
 }
 
-/// What happens to a scheduler.
+/// An input of the policy.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the list of workers.
     Members(ListKind, Vec<Member>),
-    /// A request has come in; it must get one final answer.
+    /// A request has arrived; it must get exactly one final answer.
     Request(Request),
     /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has left; no answer is needed.
+    /// The client has disconnected or withdrawn the request; no answer is needed.
     ClientGone(RequestId),
     /// A load request has ended.
     Loaded(Loaded),
     /// A health check has ended: [`Status::Ok`] if the worker answered it, with its load report as listed in
     /// [`Settings::gauges`]; values that it does not report are NaN, and the report may be empty.
     Probed(WorkerId, Status, Vec<f32>),
-    /// A request of this function, with the memory of one instance, is likely to come soon.
+    /// A request of this function is likely to arrive soon; with the memory of one instance in MB.
     Wanted(FunctionId, f64),
-    /// Another scheduler has checked a worker, at that time at the latest: whether it answered.
+    /// Another scheduler has checked a worker: whether it answered, and the latest time at which that can have been.
     PeerHealth(WorkerId, bool, Timestamp),
-    /// The parts of the fleet's tasks that this scheduler has from now on.
+    /// The parts of the fleet's tasks that this scheduler holds from now on.
     Shares(Shares),
-    /// What became of the source of the list of workers.
+    /// The state of the source of the list of workers has changed.
     ListSource(ListSource),
-    /// A time asked for by [`Action::SetTimer`] has come.
+    /// A timer set by [`Action::SetTimer`] has expired.
     Timeout,
 }
 
-/// What the scheduler is to do, in this order.
+/// An output of the policy; actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; attempts of a request are numbered from 0 in the order of these.
+    /// Send an attempt; the attempts of a request are numbered from 0 in the order in which they are sent.
     Send {
         /// The request.
         id: RequestId,
@@ -305,12 +306,12 @@
         /// Retry-After for the client; zero for none.
         wait: Duration,
     },
-    /// Final answer: failed; it may or may not have run.
+    /// Final answer: failed; the request may or may not have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Keep at least `instances` instances warm there.
+    /// Keep at least `instances` instances warm on a worker.
     Load {
         /// Where.
         worker: WorkerId,
@@ -321,7 +322,7 @@
         /// The part of [`Task::Renew`] under which it is sent for a scheduler that is gone.
         part: Option<u16>,
     },
-    /// Give back the idle instances there.
+    /// Unload the idle instances on a worker.
     Unload {
         /// Where.
         worker: WorkerId,
@@ -332,10 +333,10 @@
     Probe {
         /// Which.
         worker: WorkerId,
-        /// The part of [`Task::Probe`] as which it is sent for all of the fleet, if it is.
+        /// The part of [`Task::Probe`] under which it is sent for the whole fleet, if it is.
         part: Option<u16>,
     },
-    /// Send [`Event::Timeout`] after this time.
+    /// Deliver [`Event::Timeout`] after this time.
     SetTimer {
         /// How long from now.
         after: Duration,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Ids, points in time and lengths of time.
+//! Ids, timestamps and durations.
 
 use std::ops::{Add, Sub};
 
@@ -11,25 +11,25 @@
 }
 
 id! {
-    /// A worker; the same at every scheduler, and kept when its process restarts.
+    /// A worker; its id is the same at every scheduler and survives a restart of its process.
     WorkerId(u64);
     /// A function (or model) that a worker can load.
     FunctionId(u64);
-    /// A request as its client's try; never used twice.
+    /// A request as submitted by its client; a retry of the client gets a new id.
     RequestId(u32);
-    /// Place of a class in [`Settings::classes`](super::Settings::classes).
+    /// Index of a class in [`Settings::classes`](super::Settings::classes).
     ClassId(u16);
-    /// Place of a tenant in [`Settings::tenants`](super::Settings::tenants).
+    /// Index of a tenant in [`Settings::tenants`](super::Settings::tenants).
     TenantId(u16);
-    /// A zone: crossing from one to another may be priced.
+    /// A zone; traffic between zones may have a price.
     ZoneId(u8);
-    /// A small group of workers that remember the same keys.
+    /// A small group of workers that deduplicate the same keys.
     CellId(u16);
-    /// Place of a machine kind in [`Loading::memory_mb`](super::Loading::memory_mb).
+    /// Index of a kind of worker in [`Loading::memory_mb`](super::Loading::memory_mb).
     KindId(u8);
     /// A point in time, in nanoseconds of the caller's monotonic clock.
     Timestamp(u64);
-    /// A length of time in nanoseconds.
+    /// A duration in nanoseconds.
     Duration(u64);
 }
 
@@ -49,7 +49,7 @@
 
 impl Sub<Timestamp> for Timestamp {
     type Output = Duration;
-    /// Zero when `earlier` is in fact later.
+    /// Zero if `earlier` is later than `self`.
     fn sub(self, earlier: Timestamp) -> Duration {
         Duration(self.0.saturating_sub(earlier.0))
     }
@@ -63,22 +63,22 @@
 }
 
 impl Duration {
-    /// A span of so many milliseconds.
+    /// A duration of this many milliseconds.
     pub const fn millis(ms: u64) -> Duration {
         Duration(ms * 1_000_000)
     }
 
-    /// The span in seconds.
+    /// The duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
-    /// The span in whole milliseconds.
+    /// The duration in whole milliseconds, rounded down.
     pub const fn whole_millis(self) -> u64 {
         self.0 / 1_000_000
     }
 
-    /// The span times a factor; what is not a sensible figure becomes zero.
+    /// The duration times a factor; zero if the factor is negative or NaN, saturating if it is too large.
     pub fn times(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
     }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,32 +1,32 @@
-//! What a scheduler is configured with: its classes, rules, limits and how functions are loaded.
+//! A scheduler's configuration: its classes, rules, limits and how functions are loaded.
 
 use super::ids::{Duration, ZoneId};
 
-/// A keyed request is repeated no later than this before its group forgets it: the bytes of an attempt may take so
-/// long to be written. The decisions, the check before the write and chains use this one figure.
+/// A keyed request is retried no later than this before its deduplication window ends, because the bytes of an attempt
+/// may take that long to be written. Shared by the policy, the check before the write and chains.
 pub const DEDUP_WINDOW_MARGIN: Duration = Duration::millis(100);
 
-/// Discovery sends a frame each second: one that is heard counts for this long, with some delay of the next. The decisions and
-/// the publisher of a domain use this one figure.
+/// For how long a received discovery frame confirms the list. Discovery sends a frame each second; this allows for some
+/// delay of the next one. Shared by the policy and the publisher of a domain.
 pub const DISCOVERY_HEARTBEAT_ALLOWANCE: Duration = Duration::millis(1250);
 
-/// Whether, and by which workers, a request that may have run may be run again (idempotency).
+/// Idempotency of a request: whether, and on which workers, it may run again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Idempotent: safe to repeat anywhere.
     Safe,
-    /// Idempotent by its key: the workers of a group drop repeats, for a while after the first send.
+    /// Idempotent by its key: the workers of a group drop duplicates for a while after the first send.
     Keyed {
-        /// Which workers drop the repeat.
+        /// Which workers drop the duplicate.
         group: Group,
-        /// For how long, from the send of the first attempt that may have run.
+        /// For how long, counted from the send of the first attempt that may have run.
         window: Duration,
     },
     /// Must never run twice.
     Unsafe,
 }
 
-/// Workers that drop repeats of each other's keyed requests.
+/// Workers that drop duplicates of each other's keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All workers.
@@ -42,16 +42,16 @@
 pub struct Class {
     /// An answer within this time counts in full.
     pub latency_objective: Duration,
-    /// A client waits no longer than this over all its tries.
+    /// A client waits no longer than this, over all its retries.
     pub deadline: Duration,
-    /// Relative worth of a request.
+    /// Relative value of a request.
     pub priority_weight: f64,
-    /// Share of the worth that an answer between latency objective and deadline has.
+    /// Fraction of the value that an answer between latency objective and deadline has.
     pub late_value: f64,
-    /// Whether a request may be repeated.
+    /// Whether a request may be retried after an attempt that may have run.
     pub effect: Effect,
-    /// Most attempts of one request. A new configuration may bring other figures: a class that they change is
-    /// another class, and requests under way stay in the one that they came in.
+    /// Most attempts of one request. A new configuration that changes a class defines another class: requests under
+    /// way stay in the class under which they were accepted.
     pub max_attempts: u16,
 }
 
@@ -62,35 +62,36 @@
     pub allowance_per_s: f64,
 }
 
-/// Limits that a scheduler keeps.
+/// Rules that a scheduler keeps when it sends work to workers.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A cold worker starts at no less than this part of its capacity...
+    /// Slow start: a cold worker begins with at least this fraction of its capacity...
     pub cold_from: f64,
-    /// ...and is warm after this time at the latest.
+    /// ...and has its full capacity after this time at the latest.
     pub cold_span: Duration,
-    /// A cold worker falls over when sent more than this multiple of its present capacity...
+    /// A cold worker fails when it is sent more than this multiple of its present capacity...
     pub fall_multiple: f64,
     /// ...for this long.
     pub fall_span: Duration,
     /// Nothing new is sent to a worker later than this after its drain was received, or counts as received.
     pub drain_grace: Duration,
-    /// Load requests are rate-limited so, where they are.
+    /// Rate limit of load requests, where there is one.
     pub load_rate_limit: Option<LoadRateLimit>,
 }
 
-/// At each load request, load requests in `span` are at most `free + share x requests accepted in span`.
+/// Rate limit of load requests: at each one, the load requests within `span` are at most
+/// `free + share x requests accepted within span`.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadRateLimit {
-    /// Load requests that are always allowed.
+    /// Load requests that are allowed regardless of the requests accepted.
     pub free: f64,
     /// Further load requests for each request accepted.
     pub share: f64,
-    /// The window of the count.
+    /// Length of the sliding window.
     pub span: Duration,
 }
 
-/// What a site lets a scheduler do.
+/// What a site permits a scheduler to do.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Attempts may be cancelled.
@@ -103,73 +104,73 @@
     pub retry_after: Option<Duration>,
 }
 
-/// What a worker does with a request of a function that it does not hold.
+/// What a worker does with a request for a function that it has not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnMiss {
     /// It loads the function while the request waits.
     Load,
-    /// It answers [`Status::Miss`](super::Status::Miss); only a load request loads.
+    /// It answers [`Status::Miss`](super::Status::Miss); only a load request loads the function.
     Miss,
 }
 
 /// How workers load and keep functions.
 #[derive(Clone, Debug)]
 pub struct Loading {
-    /// An idle instance stays at least this long.
+    /// An idle instance stays loaded at least this long.
     pub keep_alive: Duration,
     /// What happens on a miss.
     pub on_miss: OnMiss,
-    /// Memory of each kind of worker.
+    /// Memory of each kind of worker, in MB.
     pub memory_mb: Vec<f64>,
 }
 
-/// Points of the result, as parts of one, for each unit.
+/// Cost of each resource, as a fraction of the whole result. Each field names the usage that costs this much.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
-    /// All memory held by idle instances all the time.
+    /// All memory is held by idle instances all the time.
     pub idle: f64,
-    /// One fetch from the store for each request.
+    /// Each request causes one fetch from the store.
     pub fetch: f64,
-    /// Each request crossing zones once.
+    /// Each request crosses zones once.
     pub cross_zone: f64,
-    /// All work wasted.
+    /// All work is wasted.
     pub waste: f64,
-    /// One health check or load request for each request.
+    /// Each request causes one health check or load request.
     pub probe: f64,
 }
 
 /// Meaning of a value in a worker's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gauge {
-    /// Requests held.
+    /// Requests in flight.
     InFlight,
-    /// Requests waiting.
+    /// Requests queued.
     Queue,
-    /// How busy the cores are, 0 to 1.
+    /// CPU utilization, 0 to 1.
     Busy,
-    /// Loads under way or waiting.
+    /// Loads running or queued.
     Loads,
-    /// Share of memory that cannot be freed.
+    /// Fraction of memory that cannot be freed.
     PinnedMemory,
     /// Anything else.
     Other,
 }
 
-/// Whether list changes come by themselves.
+/// How changes of the list of workers are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// They do.
+    /// To every scheduler, without a subscription.
     Pushed,
-    /// Only to schedulers that subscribed.
+    /// Only to schedulers that have subscribed.
     OnRequest,
 }
 
-/// What a scheduler is configured with.
+/// The configuration of a scheduler.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many schedulers there are.
+    /// Number of schedulers.
     pub fleet_size: u32,
-    /// The number of this one, from 0.
+    /// Index of this scheduler, from 0.
     pub index: u32,
     /// Its zone.
     pub zone: ZoneId,
@@ -179,22 +180,22 @@
     pub classes: Vec<Class>,
     /// Tenants; empty where there are none.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
+    /// Value of a request beyond its tenant's share, as a fraction of its usual value.
     pub over_share_weight: f64,
-    /// Figures of the rules.
+    /// Rules for sending work to workers.
     pub rules: Rules,
     /// What is permitted.
     pub limits: Limits,
     /// How functions are loaded.
     pub loading: Loading,
-    /// What costs points.
+    /// What each resource costs.
     pub prices: Prices,
-    /// Values of a load report, in their order.
+    /// Meanings of the values of a load report, in their order.
     pub gauges: Vec<Gauge>,
     /// Whether answers carry [`Outcome::company`](super::Outcome::company).
     pub tells_company: bool,
-    /// How changes of the list of workers arrive.
+    /// How changes of the list of workers are delivered.
     pub discovery: Discovery,
-    /// A worker's listed weight is a lasting size.
+    /// Whether a worker's listed weight is a lasting size.
     pub weights_are_sizes: bool,
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests, attempts, load requests and their outcomes, as listeners, the core and connections to workers pass them on.
-//! No decisions, no I/O.
+//! Requests, attempts, load requests and their outcomes, as they pass between listeners, the core and connections to
+//! workers. Makes no decisions and does no I/O.
 
 use crate::interface::{Duration, FunctionId, RequestId, Status, Timestamp};
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 /// Where a request's answer goes: a client connection, and the request's number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Owner {
-    /// The connection, never used twice.
+    /// The connection; its number is never reused.
     pub connection: u64,
     /// The request on it.
     pub stream: u64,
@@ -30,7 +30,7 @@
     pub memory_mb: f64,
     /// Requests that one instance runs at a time.
     pub concurrency: f64,
-    /// Usual time of a load, where known.
+    /// Typical duration of a load, where known.
     pub load_time: Option<Duration>,
     /// When the client gives up.
     pub deadline: Timestamp,
@@ -62,7 +62,7 @@
     pub number: u16,
 }
 
-/// The lease under which something is done for the whole fleet: it is done under this fencing token, or not at all.
+/// The lease under which something is done for the whole fleet: it is done under this fencing token or not at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fenced {
     /// The task's part.
@@ -72,8 +72,8 @@
 }
 
 impl Fenced {
-    /// The suffix of the name under which something is written to a worker: receivers that check fencing tokens can
-    /// reject an old one, and others do not look at names.
+    /// The suffix of the id under which a message is written to a worker. Workers that check fencing tokens can reject
+    /// an old one; others ignore the contents of ids.
     pub fn suffix(fenced: Option<Fenced>) -> String {
         fenced.map(|fenced| format!("-{}.{}", fenced.part, fenced.fence)).unwrap_or_default()
     }
@@ -82,39 +82,40 @@
 /// One load request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadId {
-    /// Its number; load requests and probes are numbered together.
+    /// Its number; load requests and probes share one sequence.
     pub number: u64,
-    /// The lease under which it is made, for an instance of another scheduler.
+    /// The lease under which it is made, if it stands in for another scheduler.
     pub lease: Option<Fenced>,
 }
 
-/// What a worker reports of its load in answer to a probe: values by the names that its site gives them.
+/// A worker's load as reported in answer to a probe: values by the names that the site gives them.
 pub type LoadReport = Vec<(String, f32)>;
 
 /// One probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProbeId {
-    /// Its number; load requests and probes are numbered together.
+    /// Its number; load requests and probes share one sequence.
     pub number: u64,
-    /// The lease under which it is made, for all of the fleet.
+    /// The lease under which it is made, if it is made for the whole fleet.
     pub lease: Option<Fenced>,
 }
 
-/// How far an attempt or a load request had come when it broke. This alone decides whether a retry is safe.
+/// How far an attempt or a load request had progressed when its connection broke. This alone decides whether a retry is
+/// safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptProgress {
-    /// No byte was handed to the system.
+    /// No byte was handed to the operating system.
     NotSent,
-    /// Some bytes, not all: what arrives cannot be read, so it never ran.
+    /// Some of the bytes were: the worker cannot parse what it receives, so the attempt never ran.
     PartlyWritten,
-    /// All of it: it may have run.
+    /// All of the bytes were: the attempt may have run.
     Out,
-    /// An answer came that could not be used.
+    /// An unusable answer was received.
     Answered,
 }
 
 impl AttemptProgress {
-    /// What a break there means to the policy.
+    /// The status that the policy is given if the connection breaks at this point.
     pub fn status(self) -> Status {
         match self {
             AttemptProgress::NotSent | AttemptProgress::PartlyWritten => Status::ConnectFailed,
@@ -127,29 +128,29 @@
 /// An attempt or load request that ended without a usable answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// How far it had come.
+    /// How far it had progressed.
     pub progress: AttemptProgress,
-    /// What broke, for the log.
+    /// The cause, for the log.
     pub cause: &'static str,
 }
 
 /// A worker's answer to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Done, with its body.
+    /// Success, with the response body.
     Ok(Vec<u8>),
-    /// The function is not loaded there.
+    /// The function is not loaded on the worker.
     Miss,
-    /// Rejected unseen.
+    /// Rejected without being run.
     Full,
     /// It failed and may have run.
     Error,
-    /// The request was over before it ran.
+    /// The request expired before it ran.
     Expired,
 }
 
 impl Reply {
-    /// What it means to the policy.
+    /// The status that the policy is given for this answer.
     pub fn status(&self) -> Status {
         match self {
             Reply::Ok(_) => Status::Ok,
@@ -166,21 +167,21 @@
 pub struct LoadResult {
     /// How it ended.
     pub status: Status,
-    /// Instances that stand.
+    /// Instances that are loaded.
     pub instances: u32,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// With a worker's body.
+    /// Served, with the worker's response body.
     Served(Vec<u8>),
-    /// Not done; a retry is harmless after the cooldown.
+    /// Rejected without being run; the client may safely retry after the cooldown.
     Refused {
-        /// How long to stay away.
+        /// How long the client is to wait before a retry.
         cooldown: Duration,
     },
-    /// Failed, promising nothing.
+    /// Failed; the request may or may not have run.
     Failed,
 }
 
@@ -195,60 +196,60 @@
     }
 }
 
-/// The one final answer of a request.
+/// The final answer to a request; each request gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// How it ended.
     pub verdict: Verdict,
-    /// It ended because its time was up.
+    /// Whether it ended because its deadline was reached.
     pub expired: bool,
 }
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
-    /// The other side closed it, or the half on which it writes.
+    /// The peer closed it, or shut down its sending half.
     Ended,
-    /// Reading or writing failed: it was reset, or the way there is gone.
+    /// Reading or writing failed: it was reset, or the peer became unreachable.
     Broken,
-    /// It never came up.
+    /// It was never established.
     NotConnected,
-    /// Nothing was open on it for its time.
+    /// Nothing was open on it for the idle timeout.
     Idle,
-    /// It was idle, and its place was needed.
+    /// It was idle, and its place was needed for another connection.
     MadeRoom,
-    /// More output waited unread than may wait in memory.
+    /// The peer did not read, and more output was buffered than the limit allows.
     Clogged,
-    /// What came could not be read, or did not come whole in its time.
+    /// The input was malformed, or a message was not complete in time.
     Unreadable,
-    /// Nothing came, though something should have.
+    /// Expected input did not arrive in time.
     Silent,
-    /// All that it was for has been sent.
+    /// Everything that it was opened for has been sent.
     Finished,
-    /// It was closed by this program: its peer is another process now, or another connection takes its place.
+    /// This program closed it: its peer is another process now, or another connection replaces it.
     Replaced,
-    /// A fault in this program, caught.
+    /// A panic in this program was caught.
     Fault,
 }
 
-/// A command for a worker, waiting for its turn on a connection.
+/// A command for a worker, queued for a connection.
 #[derive(Clone, Debug)]
 pub enum Job {
     /// Start an attempt.
     Send {
         /// Which.
         attempt: AttemptId,
-        /// What it carries.
+        /// The request that it carries.
         work: Rc<RequestPayload>,
         /// When its answer is no longer waited for.
         deadline: Timestamp,
     },
-    /// Give an attempt up.
+    /// Cancel an attempt.
     Cancel {
         /// Which.
         attempt: AttemptId,
     },
-    /// Order a load.
+    /// Send a load request.
     Load {
         /// Which load request.
         load: LoadId,
@@ -257,7 +258,7 @@
         /// How many instances.
         instances: u8,
     },
-    /// Ask whether the worker lives.
+    /// Send a health check.
     Probe {
         /// Which probe.
         probe: ProbeId,
