--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
     pub now: Timestamp,
     pub policy: Policy,
     pub sent: Vec<(RequestId, u16, WorkerId)>,
-    tries: std::collections::BTreeMap<RequestId, u16>,
+    attempts: std::collections::BTreeMap<RequestId, u16>,
 }
 
 pub fn settings(on_miss: OnMiss) -> Settings {
@@ -61,7 +61,7 @@
     }
 }
 
-pub fn call(id: u32, function: u64, class: u16) -> Request {
+pub fn request(id: u32, function: u64, class: u16) -> Request {
     Request {
         id: RequestId(id),
         function: FunctionId(function),
@@ -84,18 +84,18 @@
             now: Timestamp(1_000_000_000_000),
             policy: Policy::new(settings, seed),
             sent: vec![],
-            tries: Default::default(),
+            attempts: Default::default(),
         };
-        rig.give(Event::Members(ListKind::Full, (1..=workers).map(member).collect()));
+        rig.handle(Event::Members(ListKind::Full, (1..=workers).map(member).collect()));
         rig
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::Send { id, worker, .. } = action {
-                let attempt = self.tries.entry(*id).or_default();
+                let attempt = self.attempts.entry(*id).or_default();
                 self.sent.push((*id, *attempt, *worker));
                 *attempt += 1;
             }
@@ -104,24 +104,24 @@
     }
 
     /// Lets time pass in steps of 10 ms, with a wake at each.
-    pub fn pass(&mut self, span: Duration) -> Vec<Action> {
+    pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = self.now + Duration::millis(10);
-            actions.extend(self.give(Event::Timeout));
+            actions.extend(self.handle(Event::Timeout));
         }
         actions
     }
 
     /// Answers the last attempt that was sent.
-    pub fn answer(&mut self, status: Status) -> Vec<Action> {
+    pub fn end_last_attempt(&mut self, status: Status) -> Vec<Action> {
         let (id, attempt, _) = *self.sent.last().expect("something was sent");
-        self.outcome(id, attempt, status)
+        self.end_attempt(id, attempt, status)
     }
 
-    pub fn outcome(&mut self, id: RequestId, attempt: u16, status: Status) -> Vec<Action> {
-        self.give(Event::Outcome(Outcome {
+    pub fn end_attempt(&mut self, id: RequestId, attempt: u16, status: Status) -> Vec<Action> {
+        self.handle(Event::Outcome(Outcome {
             id,
             attempt,
             status,
@@ -133,21 +133,21 @@
         }))
     }
 
-    pub fn stands(&mut self, worker: WorkerId, function: u64, status: Status) -> Vec<Action> {
+    pub fn end_load(&mut self, worker: WorkerId, function: u64, status: Status) -> Vec<Action> {
         let instances = u32::from(status == Status::Ok);
         let (function, latency) = (FunctionId(function), Duration::millis(500));
-        self.give(Event::Loaded(Loaded { worker, function, instances, status, latency }))
+        self.handle(Event::Loaded(Loaded { worker, function, instances, status, latency }))
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
+pub fn send_targets(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| {
         if let Action::Send { worker, .. } = a { Some(*worker) } else { None }
     };
     actions.iter().filter_map(send).collect()
 }
 
-pub fn loads(actions: &[Action]) -> Vec<(WorkerId, FunctionId)> {
+pub fn load_requests(actions: &[Action]) -> Vec<(WorkerId, FunctionId)> {
     let load = |a: &Action| match a {
         Action::Load { worker, function, .. } => Some((*worker, *function)),
         _ => None,
@@ -155,7 +155,7 @@
     actions.iter().filter_map(load).collect()
 }
 
-pub fn ends(actions: &[Action]) -> Vec<Action> {
+pub fn final_answers(actions: &[Action]) -> Vec<Action> {
     let end = |a: &&Action| matches!(a, Action::Refuse { .. } | Action::Fail { .. });
     actions.iter().filter(end).cloned().collect()
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -31,71 +31,75 @@
 /// A scheduler whose list follows discovery, which was heard just now.
 fn following(settings: Settings, workers: u64) -> Rig {
     let mut rig = Rig::new(settings, workers);
-    rig.give(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
-    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
+    rig.handle(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
+    rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
     rig
 }
 
 /// The same after so long a silence that no list is valid any more.
 fn cut_off(settings: Settings, workers: u64) -> Rig {
     let mut rig = following(settings, workers);
-    rig.pass(Duration(VALID.0 + Duration::millis(10).0));
+    rig.advance(Duration(VALID.0 + Duration::millis(10).0));
     rig
 }
 
 #[test]
 fn a_list_counts_by_itself_for_a_while_after_discovery_was_heard() {
     let mut rig = following(settings(OnMiss::Load), 4);
-    rig.pass(VALID);
-    let actions = rig.give(Event::Request(call(1, 7, 0)));
-    assert_eq!((sends(&actions).len(), probes(&actions).len()), (1, 0));
-    rig.pass(Duration::millis(10));
-    let actions = rig.give(Event::Request(call(2, 8, 0)));
-    assert_eq!((sends(&actions).len(), probes(&actions).len()), (0, 1), "it is asked first");
-    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
-    let actions = rig.give(Event::Request(call(3, 9, 0)));
-    assert_eq!((sends(&actions).len(), probes(&actions).len()), (1, 0), "heard again");
+    rig.advance(VALID);
+    let actions = rig.handle(Event::Request(request(1, 7, 0)));
+    assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (1, 0));
+    rig.advance(Duration::millis(10));
+    let actions = rig.handle(Event::Request(request(2, 8, 0)));
+    assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (0, 1), "it is asked first");
+    rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
+    let actions = rig.handle(Event::Request(request(3, 9, 0)));
+    assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (1, 0), "heard again");
 }
 
 /// Where nothing follows discovery, as in the simulator and in clients that give the list themselves, nobody is asked.
 #[test]
 fn a_list_without_a_source_counts_for_good() {
     let mut rig = Rig::new(settings(OnMiss::Load), 4);
-    rig.pass(Duration::millis(60_000));
-    let actions = rig.give(Event::Request(call(1, 7, 0)));
-    assert_eq!((sends(&actions).len(), probes(&actions).len()), (1, 0));
+    rig.advance(Duration::millis(60_000));
+    let actions = rig.handle(Event::Request(request(1, 7, 0)));
+    assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (1, 0));
 }
 
 /// What the process began with may be old, and what a new connection would have told counts as received.
 #[test]
 fn neither_the_first_list_nor_a_dial_confirms_anything() {
     let mut rig = Rig::new(settings(OnMiss::Load), 4);
-    rig.give(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
-    assert_eq!(sends(&rig.give(Event::Request(call(1, 7, 0)))), vec![]);
-    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
-    rig.give(Event::ListSource(ListSource::Resubscribed));
-    rig.pass(Duration(CONFIRMED.0 + Duration::millis(10).0));
-    assert_eq!(sends(&rig.give(Event::Request(call(2, 8, 0)))), vec![], "sooner than without the dial");
+    rig.handle(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
+    assert_eq!(send_targets(&rig.handle(Event::Request(request(1, 7, 0)))), vec![]);
+    rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
+    rig.handle(Event::ListSource(ListSource::Resubscribed));
+    rig.advance(Duration(CONFIRMED.0 + Duration::millis(10).0));
+    assert_eq!(
+        send_targets(&rig.handle(Event::Request(request(2, 8, 0)))),
+        vec![],
+        "sooner than without the dial"
+    );
 }
 
 #[test]
 fn a_worker_that_takes_work_gets_what_waited_for_its_word() {
     let mut rig = cut_off(settings(OnMiss::Load), 4);
-    let asked = probes(&rig.give(Event::Request(call(1, 7, 0))));
-    assert_eq!(probes(&rig.give(Event::Request(call(2, 7, 0)))), vec![], "one question at a time");
-    let actions = rig.give(probed(asked[0], Status::Ok));
-    assert_eq!(sends(&actions), vec![asked[0]; 2]);
+    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))));
+    assert_eq!(probes(&rig.handle(Event::Request(request(2, 7, 0)))), vec![], "one question at a time");
+    let actions = rig.handle(probed(asked[0], Status::Ok));
+    assert_eq!(send_targets(&actions), vec![asked[0]; 2]);
 }
 
 /// An answer counts from the moment at which the request was sent, however long it took.
 #[test]
 fn a_served_request_confirms_its_worker_from_when_it_was_sent() {
     let mut rig = cut_off(settings(OnMiss::Load), 1);
-    rig.give(Event::Request(call(1, 7, 0)));
-    rig.give(probed(WorkerId(1), Status::Ok));
+    rig.handle(Event::Request(request(1, 7, 0)));
+    rig.handle(probed(WorkerId(1), Status::Ok));
     let sent_at = rig.now;
-    rig.pass(Duration::millis(1_500));
-    rig.answer(Status::Ok);
+    rig.advance(Duration::millis(1_500));
+    rig.end_last_attempt(Status::Ok);
     assert!(rig.policy.is_confirmed(WorkerId(1), sent_at + CONFIRMED));
     assert!(!rig.policy.is_confirmed(WorkerId(1), sent_at + CONFIRMED + Duration::millis(1)));
 }
@@ -103,33 +107,33 @@
 #[test]
 fn a_worker_that_takes_no_work_gets_nothing_and_is_asked_again_after_a_second() {
     let mut rig = cut_off(settings(OnMiss::Load), 2);
-    let asked = probes(&rig.give(Event::Request(call(1, 7, 0))))[0];
-    let next = probes(&rig.give(probed(asked, Status::Full)));
+    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
+    let next = probes(&rig.handle(probed(asked, Status::Full)));
     assert!(next.len() == 1 && next[0] != asked, "the request goes elsewhere");
-    assert_eq!(sends(&rig.give(probed(next[0], Status::Ok))), next);
-    rig.answer(Status::Ok);
+    assert_eq!(send_targets(&rig.handle(probed(next[0], Status::Ok))), next);
+    rig.end_last_attempt(Status::Ok);
     for n in 2..40 {
-        let actions = rig.give(Event::Request(call(n, 7, 0)));
-        assert!(!probes(&actions).contains(&asked) && !sends(&actions).contains(&asked));
-        if !sends(&actions).is_empty() {
-            rig.answer(Status::Ok);
+        let actions = rig.handle(Event::Request(request(n, 7, 0)));
+        assert!(!probes(&actions).contains(&asked) && !send_targets(&actions).contains(&asked));
+        if !send_targets(&actions).is_empty() {
+            rig.end_last_attempt(Status::Ok);
         }
-        rig.pass(Duration::millis(20));
+        rig.advance(Duration::millis(20));
     }
-    rig.pass(Duration::millis(400));
+    rig.advance(Duration::millis(400));
     // The other one drains too: now the first is worth a question again.
-    rig.give(probed(next[0], Status::Full));
-    assert_eq!(probes(&rig.give(Event::Request(call(50, 7, 0)))), vec![asked]);
+    rig.handle(probed(next[0], Status::Full));
+    assert_eq!(probes(&rig.handle(Event::Request(request(50, 7, 0)))), vec![asked]);
 }
 
 /// It finishes what it has, however often it says that it takes no more.
 #[test]
 fn what_runs_at_a_worker_that_drains_is_not_called_off() {
     let mut rig = cut_off(settings(OnMiss::Load), 2);
-    let asked = probes(&rig.give(Event::Request(call(1, 7, 0))))[0];
-    assert_eq!(sends(&rig.give(probed(asked, Status::Ok))), vec![asked]);
+    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
+    assert_eq!(send_targets(&rig.handle(probed(asked, Status::Ok))), vec![asked]);
     for _ in 0..3 {
-        let actions = rig.give(probed(asked, Status::Full));
+        let actions = rig.handle(probed(asked, Status::Full));
         assert!(!actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{actions:?}");
     }
 }
@@ -137,27 +141,27 @@
 #[test]
 fn a_request_waits_for_one_workers_word_a_quarter_of_its_time_at_most() {
     let mut rig = cut_off(settings(OnMiss::Load), 2);
-    let asked = probes(&rig.give(Event::Request(call(1, 7, 0))));
-    assert_eq!(probes(&rig.pass(Duration::millis(600))), vec![]);
-    let next = probes(&rig.pass(Duration::millis(40)));
+    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))));
+    assert_eq!(probes(&rig.advance(Duration::millis(600))), vec![]);
+    let next = probes(&rig.advance(Duration::millis(40)));
     assert!(next.len() == 1 && next != asked, "{asked:?}, then {next:?}");
-    assert_eq!(sends(&rig.give(probed(next[0], Status::Ok))), next);
-    assert_eq!(sends(&rig.give(probed(asked[0], Status::Ok))), vec![], "it waits there no longer");
+    assert_eq!(send_targets(&rig.handle(probed(next[0], Status::Ok))), next);
+    assert_eq!(send_targets(&rig.handle(probed(asked[0], Status::Ok))), vec![], "it waits there no longer");
 }
 
 #[test]
 fn a_request_that_no_worker_takes_is_refused_long_before_its_deadline() {
     let mut rig = cut_off(settings(OnMiss::Load), 3);
-    let mut asked = probes(&rig.give(Event::Request(call(1, 7, 0))));
+    let mut asked = probes(&rig.handle(Event::Request(request(1, 7, 0))));
     let mut ended = vec![];
     for _ in 0..120 {
         while let Some(worker) = asked.pop() {
-            let actions = rig.give(probed(worker, Status::Full));
-            ended.extend(ends(&actions));
+            let actions = rig.handle(probed(worker, Status::Full));
+            ended.extend(final_answers(&actions));
             asked.extend(probes(&actions));
         }
-        let actions = rig.pass(Duration::millis(10));
-        ended.extend(ends(&actions));
+        let actions = rig.advance(Duration::millis(10));
+        ended.extend(final_answers(&actions));
         asked.extend(probes(&actions));
     }
     assert!(matches!(ended[..], [Action::Refuse { .. }]), "{ended:?}");
@@ -167,10 +171,10 @@
 #[test]
 fn a_rejection_in_an_outage_has_the_worker_asked_before_the_next_send() {
     let mut rig = cut_off(settings(OnMiss::Load), 1);
-    rig.give(Event::Request(call(1, 7, 0)));
-    rig.give(probed(WorkerId(1), Status::Ok));
-    rig.answer(Status::Full);
-    rig.pass(Duration::millis(200));
+    rig.handle(Event::Request(request(1, 7, 0)));
+    rig.handle(probed(WorkerId(1), Status::Ok));
+    rig.end_last_attempt(Status::Full);
+    rig.advance(Duration::millis(200));
     assert!(!rig.policy.is_confirmed(WorkerId(1), rig.now));
 }
 
@@ -178,36 +182,36 @@
 #[test]
 fn a_worker_that_rejects_is_asked_why_also_while_the_list_is_valid() {
     let mut rig = following(settings(OnMiss::Load), 1);
-    rig.pass(Duration::millis(1_000));
-    rig.give(Event::Request(call(1, 7, 0)));
-    assert_eq!(probes(&rig.answer(Status::Full)), vec![], "it may be full");
-    rig.pass(Duration::millis(200));
-    assert_eq!(probes(&rig.answer(Status::Full)), vec![]);
-    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
-    rig.pass(Duration::millis(200));
-    assert_eq!(probes(&rig.answer(Status::Full)), vec![WorkerId(1)], "the third in a row");
-    rig.give(probed(WorkerId(1), Status::Full));
+    rig.advance(Duration::millis(1_000));
+    rig.handle(Event::Request(request(1, 7, 0)));
+    assert_eq!(probes(&rig.end_last_attempt(Status::Full)), vec![], "it may be full");
+    rig.advance(Duration::millis(200));
+    assert_eq!(probes(&rig.end_last_attempt(Status::Full)), vec![]);
+    rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
+    rig.advance(Duration::millis(200));
+    assert_eq!(probes(&rig.end_last_attempt(Status::Full)), vec![WorkerId(1)], "the third in a row");
+    rig.handle(probed(WorkerId(1), Status::Full));
     assert!(!rig.policy.is_confirmed(WorkerId(1), rig.now), "it drains, whatever the list says");
-    rig.pass(Duration::millis(500));
-    rig.give(Event::Members(ListKind::Delta, vec![member(1)]));
-    rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
+    rig.advance(Duration::millis(500));
+    rig.handle(Event::Members(ListKind::Delta, vec![member(1)]));
+    rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
     assert!(rig.policy.is_confirmed(WorkerId(1), rig.now), "the list has it as ready anew");
 }
 
 #[test]
 fn a_worker_that_rejects_again_and_again_is_asked_once_a_second_at_most() {
     let mut rig = following(settings(OnMiss::Load), 1);
-    rig.pass(Duration::millis(1_000));
+    rig.advance(Duration::millis(1_000));
     let mut asked = 0;
     for n in 0..40 {
-        rig.give(Event::Request(call(n, 7, 0)));
+        rig.handle(Event::Request(request(n, 7, 0)));
         let is_sent = rig.sent.last().is_some_and(|(id, ..)| *id == RequestId(n));
-        if is_sent && !probes(&rig.answer(Status::Full)).is_empty() {
+        if is_sent && !probes(&rig.end_last_attempt(Status::Full)).is_empty() {
             asked += 1;
-            rig.give(probed(WorkerId(1), Status::Ok));
+            rig.handle(probed(WorkerId(1), Status::Ok));
         }
-        rig.give(Event::ListSource(ListSource::Received { at: rig.now }));
-        rig.pass(Duration::millis(50));
+        rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
+        rig.advance(Duration::millis(50));
     }
     assert!((1..=3).contains(&asked), "{asked} in two seconds");
 }
@@ -215,29 +219,29 @@
 #[test]
 fn a_load_waits_for_the_workers_word_as_well() {
     let mut rig = cut_off(settings(OnMiss::Miss), 2);
-    let asked = probes(&rig.give(Event::Wanted(FunctionId(7), 400.0)));
+    let asked = probes(&rig.handle(Event::Wanted(FunctionId(7), 400.0)));
     assert_eq!(asked.len(), 1);
-    assert_eq!(rig.give(Event::Wanted(FunctionId(7), 400.0)), vec![], "asked already");
-    assert_eq!(loads(&rig.give(probed(asked[0], Status::Ok))), vec![(asked[0], FunctionId(7))]);
+    assert_eq!(rig.handle(Event::Wanted(FunctionId(7), 400.0)), vec![], "asked already");
+    assert_eq!(load_requests(&rig.handle(probed(asked[0], Status::Ok))), vec![(asked[0], FunctionId(7))]);
 }
 
 #[test]
 fn a_load_at_a_worker_that_drains_goes_elsewhere_with_the_request_that_waits_for_it() {
     let mut rig = cut_off(settings(OnMiss::Miss), 2);
-    let first = probes(&rig.give(Event::Request(call(1, 7, 0))))[0];
-    assert_eq!(sends(&rig.give(probed(first, Status::Ok))), vec![first]);
-    let second = probes(&rig.answer(Status::Miss))[0];
-    assert_eq!(sends(&rig.give(probed(second, Status::Ok))), vec![second]);
+    let first = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
+    assert_eq!(send_targets(&rig.handle(probed(first, Status::Ok))), vec![first]);
+    let second = probes(&rig.end_last_attempt(Status::Miss))[0];
+    assert_eq!(send_targets(&rig.handle(probed(second, Status::Ok))), vec![second]);
     // Both have been asked too long ago when it turns out that a load is needed.
-    rig.pass(Duration(CONFIRMED.0 + Duration::millis(10).0));
-    let actions = rig.answer(Status::Miss);
+    rig.advance(Duration(CONFIRMED.0 + Duration::millis(10).0));
+    let actions = rig.end_last_attempt(Status::Miss);
     let asked = probes(&actions);
-    assert_eq!((asked.len(), loads(&actions)), (1, vec![]));
-    let actions = rig.give(probed(asked[0], Status::Full));
+    assert_eq!((asked.len(), load_requests(&actions)), (1, vec![]));
+    let actions = rig.handle(probed(asked[0], Status::Full));
     let next = probes(&actions);
     assert!(next.len() == 1 && next != asked, "{asked:?}, then {next:?}");
-    assert_eq!(loads(&rig.give(probed(next[0], Status::Ok))), vec![(next[0], FunctionId(7))]);
-    assert_eq!(sends(&rig.stands(next[0], 7, Status::Ok)), next);
+    assert_eq!(load_requests(&rig.handle(probed(next[0], Status::Ok))), vec![(next[0], FunctionId(7))]);
+    assert_eq!(send_targets(&rig.end_load(next[0], 7, Status::Ok)), next);
 }
 
 /// In an outage nobody tells when a worker starts. One that was away and takes work again is cold.
@@ -247,22 +251,22 @@
         let mut rig = cut_off(settings(OnMiss::Load), 2);
         if comes_back {
             for worker in [1, 2] {
-                rig.give(probed(WorkerId(worker), Status::Full));
-                rig.pass(Duration::millis(1_010));
-                rig.give(probed(WorkerId(worker), Status::Ok));
+                rig.handle(probed(WorkerId(worker), Status::Full));
+                rig.advance(Duration::millis(1_010));
+                rig.handle(probed(WorkerId(worker), Status::Ok));
             }
         }
         let mut sent = 0;
         for n in 0..40 {
-            let mut actions = rig.give(Event::Request(call(n, 7, 0)));
+            let mut actions = rig.handle(Event::Request(request(n, 7, 0)));
             for worker in probes(&actions) {
-                actions.extend(rig.give(probed(worker, Status::Ok)));
+                actions.extend(rig.handle(probed(worker, Status::Ok)));
             }
-            sent += sends(&actions).len();
-            if !sends(&actions).is_empty() {
-                rig.answer(Status::Ok);
+            sent += send_targets(&actions).len();
+            if !send_targets(&actions).is_empty() {
+                rig.end_last_attempt(Status::Ok);
             }
-            rig.pass(Duration::millis(20));
+            rig.advance(Duration::millis(20));
         }
         sent
     };
@@ -274,9 +278,9 @@
 #[test]
 fn workers_of_the_operators_file_need_no_discovery() {
     let mut rig = Rig::new(settings(OnMiss::Load), 1);
-    rig.give(Event::ListSource(ListSource::Followed { fixed: BTreeSet::from([WorkerId(1)]) }));
-    rig.pass(Duration::millis(60_000));
-    assert_eq!(sends(&rig.give(Event::Request(call(1, 7, 0)))), vec![WorkerId(1)]);
+    rig.handle(Event::ListSource(ListSource::Followed { fixed: BTreeSet::from([WorkerId(1)]) }));
+    rig.advance(Duration::millis(60_000));
+    assert_eq!(send_targets(&rig.handle(Event::Request(request(1, 7, 0)))), vec![WorkerId(1)]);
 }
 
 #[test]
@@ -284,10 +288,10 @@
     let mut settings = settings(OnMiss::Load);
     settings.limits.may_probe = false;
     let mut rig = cut_off(settings, 1);
-    rig.pass(Duration::millis(5_000));
-    assert_eq!(sends(&rig.give(Event::Request(call(1, 7, 0)))), vec![WorkerId(1)]);
+    rig.advance(Duration::millis(5_000));
+    assert_eq!(send_targets(&rig.handle(Event::Request(request(1, 7, 0)))), vec![WorkerId(1)]);
     let sent_at = rig.now;
-    rig.answer(Status::Ok);
+    rig.end_last_attempt(Status::Ok);
     let until = sent_at + Duration::millis(7_000) + CONFIRMED;
     assert!(rig.policy.is_confirmed(WorkerId(1), until));
     assert!(!rig.policy.is_confirmed(WorkerId(1), until + Duration::millis(1)));
@@ -312,9 +316,9 @@
         let mut settings = settings(OnMiss::Load);
         settings.limits.may_probe = may_probe;
         let mut rig = Rig::new(settings, 1);
-        rig.give(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
-        rig.pass(Duration::millis(20_000));
-        rig.give(Event::ListSource(ListSource::Confirmed { at: rig.now }));
+        rig.handle(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
+        rig.advance(Duration::millis(20_000));
+        rig.handle(Event::ListSource(ListSource::Confirmed { at: rig.now }));
         assert!(rig.policy.list_is_valid(rig.now + valid));
         assert!(!rig.policy.list_is_valid(rig.now + valid + Duration::millis(1)));
     }
@@ -435,15 +439,15 @@
             while let Some(next) = self.coming.first_entry().filter(|next| next.key().0 <= self.rig.now) {
                 let actions = {
                     let event = next.remove();
-                    self.rig.give(event)
+                    self.rig.handle(event)
                 };
                 self.act(actions);
             }
-            let mut actions = self.rig.give(Event::Timeout);
+            let mut actions = self.rig.handle(Event::Timeout);
             if self.rng.random_range(0..40) == 0 {
                 number += 1;
                 let function = self.rng.random_range(1..12);
-                actions.extend(self.rig.give(Event::Request(call(number, function, 0))));
+                actions.extend(self.rig.handle(Event::Request(request(number, function, 0))));
             }
             self.act(actions);
         }
