--- a/src/fleet/distribution/child.rs
+++ b/src/fleet/distribution/child.rs
@@ -1,8 +1,8 @@
-//! One child of a parent: what it has acknowledged, which pages it was sent, and what it is sent next.
+//! The state that a parent keeps of one child: what it has acknowledged, which pages were sent, and what is sent next.
 
 use super::interface::DistributionOutput;
 use super::log::{Log, Part};
-use super::pacing::Place;
+use super::pacing::QueueState;
 use super::record::Version;
 use super::status::DistributionCounters;
 use super::wire::{ChildReport, DistributionMessage, Interest, Page, Progress};
@@ -10,18 +10,18 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Time after which a silent child is removed: six heartbeats.
+/// A child that is silent for this long is removed: six report intervals.
 pub const CHILD_TIMEOUT: Duration = Duration::millis(3_000);
-/// Time after which unacknowledged pages are sent again; doubled with each attempt.
+/// Unacknowledged pages are sent again after this time, which doubles with each attempt.
 const RESEND_TIMEOUT: Duration = Duration::millis(250);
-/// How often that time is doubled at most.
+/// Maximum number of times that [`RESEND_TIMEOUT`] is doubled.
 const MAX_RESEND_DOUBLINGS: u32 = 3;
 
 /// What a parent serves its children from.
 pub struct Source<'a> {
     /// The committed records.
     pub log: &'a Log,
-    /// Time since the log was last known to be up to date, in milliseconds.
+    /// Time since the log was last known to be up to date, in milliseconds; [`Page::NEVER`] if it never was.
     pub age_ms: u32,
     /// The fence under which this process publishes; 0 if it is not the publisher.
     pub publishes: u64,
@@ -30,68 +30,69 @@
 /// A snapshot that is being sent to a child.
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot {
-    /// The sequence of the version of its first page: the child has no records that were removed before it.
+    /// The sequence of the version of its first page. The child has no records that were removed before it.
     pub begun: u64,
-    /// Whether all of it was sent; what follows are changes.
+    /// Whether all of it was sent; pages that follow contain changes.
     pub sent: bool,
 }
 
-/// A child of this process.
+/// A child of this process, as the parent sees it.
 #[derive(Debug)]
 pub struct Child {
     pub interest: Interest,
     pub last_seen: Timestamp,
-    /// When its entry among the timers expires.
-    pub timer: Timestamp,
+    /// When its entry in the timer queue expires.
+    pub timer_at: Timestamp,
     pub acknowledged: u64,
     pub acknowledged_at: Timestamp,
     pub sent: u64,
     pub sent_at: Timestamp,
-    /// Last sequences of the pages that were sent and not acknowledged.
+    /// The last sequence of each page that was sent and not acknowledged yet.
     pub unacknowledged: VecDeque<u64>,
-    /// When the oldest of these pages is to be sent again.
+    /// When the oldest unacknowledged page is sent again.
     pub resend_at: Timestamp,
-    pub tries: u32,
+    pub resends: u32,
     pub snapshot: Option<Snapshot>,
-    pub place: Place,
+    pub queue_state: QueueState,
     /// Whether the state of the child is known.
-    pub known: bool,
+    pub state_known: bool,
 }
 
-/// The state of a child by its report, compared with the log of the parent.
+/// The state of a child according to its report, compared with the log of the parent.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChildState {
     /// It has all changes up to this sequence.
     UpTo(u64),
-    /// It is receiving a snapshot that began at sequence `begun` of the parent, and has the pages up to `upto`.
+    /// It is receiving a snapshot whose first page was sent at version `begun` of the parent, and has the pages up to
+    /// `upto`.
     Snapshot { begun: u64, upto: u64 },
-    /// It has the same records with another history.
+    /// It has the same records under another version history.
     SameRecords,
     /// It has a later version than the parent.
     Ahead,
 }
 
 impl Child {
-    /// A child whose state is not known yet.
+    /// Creates a child whose state is not known yet.
     pub fn new(now: Timestamp, interest: Interest) -> Child {
         Child {
             interest,
             last_seen: now,
-            timer: now + CHILD_TIMEOUT,
+            timer_at: now + CHILD_TIMEOUT,
             acknowledged: 0,
             acknowledged_at: now,
             sent: 0,
             sent_at: Timestamp(0),
             unacknowledged: VecDeque::new(),
             resend_at: now,
-            tries: 0,
+            resends: 0,
             snapshot: None,
-            place: Place::Idle,
-            known: false,
+            queue_state: QueueState::Idle,
+            state_known: false,
         }
     }
 
-    /// The state of the child by its report.
+    /// Determines the state of the child from its report.
     pub fn state(&self, log: &Log, report: &ChildReport) -> ChildState {
         let head = log.version();
         let floor = log.floor(&self.interest);
@@ -100,7 +101,7 @@
                 return ChildState::Snapshot { begun, upto };
             }
             Some(Progress { start, upto, .. }) if start > 0 => {
-                let follows = log.went_through(report.version) && start == report.version.sequence;
+                let follows = log.contains_version(report.version) && start == report.version.sequence;
                 if follows && (start..=head.sequence).contains(&upto) && floor <= upto {
                     return ChildState::UpTo(upto);
                 }
@@ -110,7 +111,7 @@
         let Version { sequence, .. } = report.version;
         let same = report.digest == log.digest_of(&self.interest);
         let differs = report.version == head && !same;
-        if sequence > 0 && log.went_through(report.version) && floor <= sequence && !differs {
+        if sequence > 0 && log.contains_version(report.version) && floor <= sequence && !differs {
             return ChildState::UpTo(sequence);
         }
         if report.version > head {
@@ -120,8 +121,8 @@
         if sequence > 0 && same { ChildState::SameRecords } else { ChildState::Snapshot { begun, upto: 0 } }
     }
 
-    /// Handles an acknowledgement up to a sequence, of a snapshot where `begun` is given. Reports may be reordered: one that
-    /// goes back is ignored unless nothing was acknowledged for a while.
+    /// Handles an acknowledgement up to a sequence; `begun` is given for that of a snapshot. Reports may arrive out of
+    /// order: one with a lower sequence is ignored unless no progress was acknowledged for [`RESEND_TIMEOUT`].
     pub fn acknowledge(
         &mut self,
         now: Timestamp,
@@ -131,35 +132,35 @@
     ) {
         let snapshot = begun.is_some();
         let goes_back = upto < self.acknowledged || snapshot && self.snapshot.is_none();
-        if self.known && goes_back && now - self.acknowledged_at < RESEND_TIMEOUT {
+        if self.state_known && goes_back && now - self.acknowledged_at < RESEND_TIMEOUT {
             return;
         }
-        // Changes that follow a snapshot may be in flight.
+        // Changes that follow a snapshot may be in flight before the snapshot is acknowledged.
         let continues =
             self.snapshot.is_some() == snapshot || self.snapshot.is_some_and(|snapshot| snapshot.sent);
-        if !self.known || goes_back || !continues {
+        if !self.state_known || goes_back || !continues {
             self.snapshot = begun.map(|begun| Snapshot { begun, sent: false });
             counters.snapshots_served += u64::from(upto == 0 && begun.is_some_and(|begun| begun > 0));
-            self.go_back_to(upto);
+            self.rewind_to(upto);
             self.acknowledged_at = now;
-            self.tries = 0;
-            self.known = true;
+            self.resends = 0;
+            self.state_known = true;
         } else if upto > self.acknowledged || self.snapshot.is_some() != snapshot {
             self.snapshot = self.snapshot.filter(|_| snapshot);
             self.acknowledged = upto;
             self.acknowledged_at = now;
             self.unacknowledged.retain(|end| *end > upto);
             self.sent = self.sent.max(upto);
-            self.tries = 0;
+            self.resends = 0;
             self.resend_at = now + RESEND_TIMEOUT;
         }
         if self.unacknowledged.is_empty() && self.sent > self.acknowledged {
-            self.go_back_to(self.acknowledged);
+            self.rewind_to(self.acknowledged);
         }
     }
 
-    /// Everything after this sequence is to be sent again.
-    pub fn go_back_to(&mut self, upto: u64) {
+    /// Discards all sending progress after this sequence, so that everything after it is sent again.
+    pub fn rewind_to(&mut self, upto: u64) {
         self.acknowledged = upto;
         self.sent = upto;
         self.unacknowledged.clear();
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The part of the log that is to be sent next.
+    /// The part of the log to send next.
     pub fn next_part(&self, log: &Log) -> Part {
         let removed_after =
             self.snapshot.filter(|snapshot| !snapshot.sent).map_or(0, |snapshot| snapshot.begun);
@@ -176,13 +177,13 @@
     }
 
     fn page(&self, part: Part, source: &Source) -> Page {
-        let within = self.snapshot.is_some_and(|snapshot| !snapshot.sent);
+        let in_snapshot = self.snapshot.is_some_and(|snapshot| !snapshot.sent);
         Page {
-            start: if within { 0 } else { self.sent },
+            start: if in_snapshot { 0 } else { self.sent },
             after: self.sent,
             upto: part.upto,
             head: source.log.version(),
-            since: source.log.since(),
+            since: source.log.epoch_start(),
             digest: source.log.digest_of(&self.interest),
             publishes: source.publishes,
             age_ms: source.age_ms,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Sends a page of this part.
+    /// Sends a page with this part of the log.
     pub fn send(
         &mut self,
         now: Timestamp,
@@ -201,10 +202,10 @@
         out: &mut Vec<DistributionOutput>,
     ) {
         let page = self.page(part, source);
-        // A page without changes is not acknowledged by itself: the next report shows whether it was received.
+        // A page without changes is not acknowledged on its own: the next report shows whether it was received.
         if !page.changes.is_empty() {
             if self.unacknowledged.is_empty() {
-                self.resend_at = now + Duration(RESEND_TIMEOUT.0 << self.tries.min(MAX_RESEND_DOUBLINGS));
+                self.resend_at = now + Duration(RESEND_TIMEOUT.0 << self.resends.min(MAX_RESEND_DOUBLINGS));
             }
             self.unacknowledged.push_back(page.upto);
         }
@@ -216,7 +217,7 @@
         out.push(DistributionOutput::Send(to, DistributionMessage::Page(page)));
     }
 
-    /// Sends a page without changes: a heartbeat with the version of the parent.
+    /// Sends a page without changes, as a heartbeat that carries the version of the parent.
     pub fn send_heartbeat(
         &mut self,
         now: Timestamp,
@@ -225,16 +226,16 @@
         out: &mut Vec<DistributionOutput>,
     ) {
         let head = source.log.version().sequence;
-        let at = if self.known { self.sent } else { head };
+        let at = if self.state_known { self.sent } else { head };
         let part = Part { upto: at, ..Part::default() };
         let page = self.page(part, source);
-        let start = if self.known { page.start } else { at };
+        let start = if self.state_known { page.start } else { at };
         let page = Page { start, after: at, ..page };
         self.sent_at = now;
         out.push(DistributionOutput::Send(to, DistributionMessage::Page(page)));
     }
 
-    /// When the child is to be removed, or pages are to be sent again.
+    /// When the child must be removed or its pages must be sent again.
     pub fn next_timeout(&self) -> Timestamp {
         let removal = self.last_seen + CHILD_TIMEOUT;
         if self.unacknowledged.is_empty() { removal } else { removal.min(self.resend_at) }
--- a/src/fleet/distribution/children.rs
+++ b/src/fleet/distribution/children.rs
@@ -1,32 +1,34 @@
-//! The children of a parent, and what they are sent.
+//! The children of a parent, and the pages sent to them.
 //!
-//! A child that is up to date is sent each change of its interest at once; the others learn by the answer to their next
-//! report that there was none for them. A child that lacks one page gets it with that answer. One that lacks more is queued
-//! ([`super::pacing`]). State is kept by address, bounded, and freed when a child is silent.
+//! A child that is up to date is sent each change of its interest at once; the others learn from the reply to their
+//! next report that there was no change for them. A child that lacks a single page gets it as that reply; one that
+//! lacks more is queued ([`super::pacing`]). State is kept per address, is bounded, and is freed when a child is
+//! silent.
 
 use super::child::{CHILD_TIMEOUT, Child, ChildState, Source};
 use super::interface::DistributionOutput;
-use super::pacing::{Pacing, Place};
+use super::pacing::{Pacing, QueueState};
 use super::record::Topic;
-use super::stage::WINDOW;
+use super::stage::WINDOW_PAGES;
 use super::status::DistributionCounters;
 use super::wire::{ChildReport, Interest};
 use crate::interface::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Largest number of children of one parent. A domain of the size designed for has 18,000 schedulers.
+/// Maximum number of children of one parent. The domain is designed for 18,000 schedulers.
 pub const MAX_CHILDREN: usize = 20_000;
-/// Largest number of topics in the interest of a child: all possible zones, and some.
+/// Maximum number of topics in the interest of a child: one for each possible zone, and a margin.
 const MAX_TOPICS: usize = 300;
-/// A report of a child that lacks nothing is answered when nothing was sent to it for this time: less than a heartbeat.
-const HEARTBEAT_INTERVAL: Duration = Duration::millis(250);
+/// A child that is up to date is sent a heartbeat in reply to a report only if it was sent nothing for this time.
+/// Shorter than the interval between reports.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::millis(250);
 
 /// The children of this process.
 #[derive(Debug)]
 pub struct Children {
-    members: BTreeMap<SocketAddr, Child>,
-    /// Children by topic of their interest, except those in `all`.
+    by_address: BTreeMap<SocketAddr, Child>,
+    /// Children by the topics of their interest, except those in `all`.
     by_topic: BTreeMap<Topic, BTreeSet<SocketAddr>>,
     /// Children whose interest is the whole domain.
     all: BTreeSet<SocketAddr>,
@@ -35,10 +37,11 @@
 }
 
 impl Children {
-    /// No children yet. The rate limits pages to all children that are catching up together.
+    /// Creates an empty set of children. The rate limit applies to the pages of all children that are catching up
+    /// together.
     pub fn new(now: Timestamp, catch_up_bytes_per_second: u64) -> Children {
         Children {
-            members: BTreeMap::new(),
+            by_address: BTreeMap::new(),
             by_topic: BTreeMap::new(),
             all: BTreeSet::new(),
             timers: BTreeSet::new(),
@@ -48,19 +51,20 @@
 
     /// Number of children.
     pub fn len(&self) -> usize {
-        self.members.len()
+        self.by_address.len()
     }
 
     /// Whether the process with this address is a child.
     pub fn contains(&self, child: SocketAddr) -> bool {
-        self.members.contains_key(&child)
+        self.by_address.contains_key(&child)
     }
 
     /// Number of children that are not known to have everything that was committed.
     pub fn behind(&self) -> usize {
-        let behind =
-            |child: &&Child| !child.known || child.place != Place::Idle || !child.unacknowledged.is_empty();
-        self.members.values().filter(behind).count()
+        let behind = |child: &&Child| {
+            !child.state_known || child.queue_state != QueueState::Idle || !child.unacknowledged.is_empty()
+        };
+        self.by_address.values().filter(behind).count()
     }
 
     /// When [`Children::on_timeout`] is to be called.
@@ -68,9 +72,9 @@
         self.timers.first().map(|(at, _)| *at).into_iter().chain(self.pacing.next_timeout()).min()
     }
 
-    /// Handles the report of a child, or of a process that becomes one.
+    /// Handles a report. A sender that is not a child yet becomes one.
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
-    pub fn report(
+    pub fn handle_report(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
@@ -79,10 +83,10 @@
         counters: &mut DistributionCounters,
         out: &mut Vec<DistributionOutput>,
     ) {
-        if !self.admit(now, from, &report.interest, counters) {
+        if !self.register(now, from, &report.interest, counters) {
             return;
         }
-        let Some(child) = self.members.get_mut(&from) else { return };
+        let Some(child) = self.by_address.get_mut(&from) else { return };
         child.last_seen = now;
         let before = child.acknowledged;
         match child.state(source.log, &report) {
@@ -90,33 +94,33 @@
             ChildState::Snapshot { begun, upto } => child.acknowledge(now, upto, Some(begun), counters),
             state => {
                 counters.ahead += u64::from(state == ChildState::Ahead);
-                // A child with the same records and another history adopts the version of the heartbeat.
-                child.known = false;
+                // The heartbeat makes a child with the same records and another history adopt this version.
+                child.state_known = false;
                 child.unacknowledged.clear();
-                child.place = self.pacing.remove(child.place);
+                child.queue_state = self.pacing.remove(child.queue_state);
                 child.send_heartbeat(now, from, source, out);
-                self.arm(from);
+                self.schedule_timer(from);
                 return;
             }
         }
-        if child.place == Place::Blocked
-            && (child.acknowledged != before || child.unacknowledged.len() < WINDOW)
+        if child.queue_state == QueueState::Blocked
+            && (child.acknowledged != before || child.unacknowledged.len() < WINDOW_PAGES)
         {
-            child.place = self.pacing.unblock(from);
+            child.queue_state = self.pacing.unblock(from);
         }
-        self.answer(now, from, source, counters, out);
-        self.serve(now, source, counters, out);
+        self.respond(now, from, source, counters, out);
+        self.send_queued(now, source, counters, out);
     }
 
-    /// Adds a child, or replaces its interest. Returns whether it is a child now.
-    fn admit(
+    /// Adds a child or replaces its interest. Returns whether the sender is a child now.
+    fn register(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
         interest: &Interest,
         counters: &mut DistributionCounters,
     ) -> bool {
-        if let Some(child) = self.members.get(&from) {
+        if let Some(child) = self.by_address.get(&from) {
             if child.interest == *interest {
                 return true;
             }
@@ -130,7 +134,7 @@
             counters.odd += 1;
             return false;
         }
-        if self.members.len() >= MAX_CHILDREN {
+        if self.by_address.len() >= MAX_CHILDREN {
             counters.turned_away += 1;
             return false;
         }
@@ -145,24 +149,24 @@
             }
         }
         let child = Child::new(now, interest.clone());
-        self.timers.insert((child.timer, from));
-        self.members.insert(from, child);
+        self.timers.insert((child.timer_at, from));
+        self.by_address.insert(from, child);
         true
     }
 
-    fn remove(&mut self, at: SocketAddr) {
-        let Some(child) = self.members.remove(&at) else { return };
-        self.pacing.remove(child.place);
-        self.timers.remove(&(child.timer, at));
+    fn remove(&mut self, address: SocketAddr) {
+        let Some(child) = self.by_address.remove(&address) else { return };
+        self.pacing.remove(child.queue_state);
+        self.timers.remove(&(child.timer_at, address));
         match child.interest {
             Interest::All => {
-                self.all.remove(&at);
+                self.all.remove(&address);
             }
             Interest::Topics(topics) => {
                 for topic in topics.into_iter().chain([Topic::SETTINGS]) {
-                    let Some(wanting) = self.by_topic.get_mut(&topic) else { continue };
-                    wanting.remove(&at);
-                    if wanting.is_empty() {
+                    let Some(interested) = self.by_topic.get_mut(&topic) else { continue };
+                    interested.remove(&address);
+                    if interested.is_empty() {
                         self.by_topic.remove(&topic);
                     }
                 }
@@ -170,36 +174,36 @@
         }
     }
 
-    /// Sends a child that has reported the page that it lacks, or queues it where it lacks more; one that lacks nothing gets
-    /// a heartbeat.
-    fn answer(
+    /// Replies to a report: sends the missing page, queues a child that lacks more than one page, or sends a heartbeat
+    /// if nothing is missing.
+    fn respond(
         &mut self,
         now: Timestamp,
-        at: SocketAddr,
+        address: SocketAddr,
         source: &Source,
         counters: &mut DistributionCounters,
         out: &mut Vec<DistributionOutput>,
     ) {
-        let Some(child) = self.members.get_mut(&at) else { return };
-        let lacks = child.place == Place::Idle && child.sent < source.log.version().sequence;
-        if lacks && child.unacknowledged.len() < WINDOW {
+        let Some(child) = self.by_address.get_mut(&address) else { return };
+        let is_behind = child.queue_state == QueueState::Idle && child.sent < source.log.version().sequence;
+        if is_behind && child.unacknowledged.len() < WINDOW_PAGES {
             let part = child.next_part(source.log);
             if part.upto == source.log.version().sequence {
                 counters.pages += 1;
                 self.pacing.charge(now, part.bytes);
-                child.send(now, at, part, source, out);
+                child.send(now, address, part, source, out);
             } else {
-                child.place = self.pacing.wait(at);
+                child.queue_state = self.pacing.enqueue(address);
             }
         }
-        if now - child.sent_at >= HEARTBEAT_INTERVAL {
-            child.send_heartbeat(now, at, source, out);
+        if now - child.sent_at >= MIN_HEARTBEAT_INTERVAL {
+            child.send_heartbeat(now, address, source, out);
         }
-        self.arm(at);
+        self.schedule_timer(address);
     }
 
-    /// Records of these topics have changed: children of that interest that are up to date are sent the change at once.
-    pub fn changed(
+    /// Sends changes to the records of these topics at once to the up-to-date children that are interested.
+    pub fn push_changes(
         &mut self,
         now: Timestamp,
         topics: &BTreeSet<Topic>,
@@ -207,35 +211,38 @@
         counters: &mut DistributionCounters,
         out: &mut Vec<DistributionOutput>,
     ) {
-        let wanting = topics.iter().filter_map(|topic| self.by_topic.get(topic)).flatten();
-        let to: BTreeSet<SocketAddr> = wanting.chain(&self.all).copied().collect();
-        for at in to {
-            let Some(child) = self.members.get_mut(&at) else { continue };
-            if !child.known || child.place != Place::Idle || child.unacknowledged.len() >= WINDOW {
+        let interested = topics.iter().filter_map(|topic| self.by_topic.get(topic)).flatten();
+        let recipients: BTreeSet<SocketAddr> = interested.chain(&self.all).copied().collect();
+        for address in recipients {
+            let Some(child) = self.by_address.get_mut(&address) else { continue };
+            if !child.state_known
+                || child.queue_state != QueueState::Idle
+                || child.unacknowledged.len() >= WINDOW_PAGES
+            {
                 continue;
             }
             let part = child.next_part(source.log);
             if part.upto == source.log.version().sequence {
                 counters.pages += 1;
-                child.send(now, at, part, source, out);
+                child.send(now, address, part, source, out);
             } else {
-                child.place = self.pacing.wait(at);
+                child.queue_state = self.pacing.enqueue(address);
             }
-            self.arm(at);
+            self.schedule_timer(address);
         }
-        self.serve(now, source, counters, out);
+        self.send_queued(now, source, counters, out);
     }
 
-    /// The log was replaced: the state of the children is known again by their next reports.
-    pub fn reset(&mut self) {
-        for child in self.members.values_mut() {
-            child.place = self.pacing.remove(child.place);
+    /// Marks the state of all children as unknown until their next reports, after the log was replaced.
+    pub fn mark_all_unknown(&mut self) {
+        for child in self.by_address.values_mut() {
+            child.queue_state = self.pacing.remove(child.queue_state);
             child.unacknowledged.clear();
-            child.known = false;
+            child.state_known = false;
         }
     }
 
-    /// The time of [`Children::next_timeout`] has been reached.
+    /// Handles the timeout given by [`Children::next_timeout`].
     pub fn on_timeout(
         &mut self,
         now: Timestamp,
@@ -247,73 +254,73 @@
             self.timers.remove(&(at, address));
             self.on_child_timeout(now, address, source, counters, out);
         }
-        self.serve(now, source, counters, out);
+        self.send_queued(now, source, counters, out);
     }
 
     fn on_child_timeout(
         &mut self,
         now: Timestamp,
-        at: SocketAddr,
+        address: SocketAddr,
         source: &Source,
         counters: &mut DistributionCounters,
         out: &mut Vec<DistributionOutput>,
     ) {
-        let Some(child) = self.members.get_mut(&at) else { return };
+        let Some(child) = self.by_address.get_mut(&address) else { return };
         if now - child.last_seen >= CHILD_TIMEOUT {
-            self.remove(at);
+            self.remove(address);
             return;
         }
         if !child.unacknowledged.is_empty() && child.resend_at <= now {
             counters.resent += 1;
-            child.tries += 1;
-            child.go_back_to(child.acknowledged);
-            if child.place != Place::Idle {
-                // A child that does not acknowledge does not delay others.
-                self.pacing.remove(child.place);
-                child.place = self.pacing.wait(at);
+            child.resends += 1;
+            child.rewind_to(child.acknowledged);
+            if child.queue_state != QueueState::Idle {
+                // A child that does not acknowledge must not delay others, so it is queued behind them.
+                self.pacing.remove(child.queue_state);
+                child.queue_state = self.pacing.enqueue(address);
             }
-            self.answer(now, at, source, counters, out);
+            self.respond(now, address, source, counters, out);
         }
-        if let Some(child) = self.members.get_mut(&at) {
-            child.timer = child.next_timeout().max(now + Duration(1));
-            self.timers.insert((child.timer, at));
+        if let Some(child) = self.by_address.get_mut(&address) {
+            child.timer_at = child.next_timeout().max(now + Duration(1));
+            self.timers.insert((child.timer_at, address));
         }
     }
 
-    /// Makes the timer of a child expire no later than its next timeout.
-    fn arm(&mut self, at: SocketAddr) {
-        let Some(child) = self.members.get_mut(&at) else { return };
+    /// Moves the timer of a child forward to its next timeout, if that is earlier.
+    fn schedule_timer(&mut self, address: SocketAddr) {
+        let Some(child) = self.by_address.get_mut(&address) else { return };
         let deadline = child.next_timeout();
-        if deadline < child.timer {
-            self.timers.remove(&(child.timer, at));
-            child.timer = deadline;
-            self.timers.insert((deadline, at));
+        if deadline < child.timer_at {
+            self.timers.remove(&(child.timer_at, address));
+            child.timer_at = deadline;
+            self.timers.insert((deadline, address));
         }
     }
 
     /// Sends pages to queued children, as far as the rate limit allows.
-    fn serve(
+    fn send_queued(
         &mut self,
         now: Timestamp,
         source: &Source,
         counters: &mut DistributionCounters,
         out: &mut Vec<DistributionOutput>,
     ) {
-        while let Some(at) = self.pacing.next(now) {
-            let Some(child) = self.members.get_mut(&at) else { continue };
-            child.place = Place::Idle;
-            if child.unacknowledged.len() >= WINDOW {
-                child.place = self.pacing.block();
+        while let Some(address) = self.pacing.next_child(now) {
+            let Some(child) = self.by_address.get_mut(&address) else { continue };
+            child.queue_state = QueueState::Idle;
+            if child.unacknowledged.len() >= WINDOW_PAGES {
+                child.queue_state = self.pacing.block();
                 continue;
             }
             let part = child.next_part(source.log);
             counters.pages += 1;
             self.pacing.charge(now, part.bytes);
-            child.send(now, at, part, source, out);
+            child.send(now, address, part, source, out);
             if child.sent < source.log.version().sequence {
-                child.place = self.pacing.take_turn(at);
+                child.queue_state = self.pacing.requeue(address);
             }
-            self.arm(at);
+            self.schedule_timer(address);
         }
     }
 }
--- a/src/fleet/distribution/follower.rs
+++ b/src/fleet/distribution/follower.rs
@@ -14,45 +14,47 @@
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
 
-/// Interval between reports of a child, a quarter more or less so that children that started together spread out.
-pub const HEARTBEAT: Duration = Duration::millis(500);
-/// Time after which a silent parent is left: three heartbeats.
+/// Interval between the reports of a child. It varies by a quarter, so that the reports of children that started
+/// together spread out.
+pub const REPORT_INTERVAL: Duration = Duration::millis(500);
+/// A parent that is silent for this long is left: three report intervals.
 pub const PARENT_TIMEOUT: Duration = Duration::millis(1_500);
-/// Without a parent, the interval between reports doubles with each round over all parents, this often at most: to 1 s.
-/// That is less load than the reports of the same children to their parents, and a parent that is back is found within a round.
+/// Without a parent, the interval between reports doubles with each round over all parents, at most this many times: to
+/// 1 s. That is less load than regular reports of the same children, and a parent that is back is found within one
+/// round.
 const MAX_BACKOFF_DOUBLINGS: u32 = 1;
-/// Age in milliseconds beyond which a parent is stale, so that another one is probed.
+/// A parent whose version is older than this is stale, so that another one is probed.
 const STALE_MS: u32 = 5_000;
-/// By how many milliseconds another parent must be more recent than a stale one to replace it.
+/// A probed parent replaces a stale one only if it is more up to date by at least this time.
 const MIN_AGE_GAIN_MS: u32 = 1_000;
 /// Interval at which a child checks whether its parent is stale.
 const STALENESS_CHECK_INTERVAL: Duration = Duration::millis(5_000);
-/// Interval at which a child that follows another than its preferred parent probes that one.
+/// Interval at which a child probes its preferred parent while it follows another one.
 const PREFERRED_PARENT_CHECK_INTERVAL: Duration = Duration::millis(60_000);
 /// Number of pages that are acknowledged together.
 const PAGES_PER_ACKNOWLEDGEMENT: u32 = 4;
-/// Least time between acknowledgements of pages that contain nothing new.
+/// Minimum time between acknowledgements of pages that contain nothing new.
 const MIN_ACKNOWLEDGEMENT_INTERVAL: Duration = Duration::millis(50);
 
 /// Highest sequence that is accepted, so that arithmetic on sequences cannot overflow. No domain reaches it.
 const MAX_SEQUENCE: u64 = 1 << 60;
 
-/// What the parent last reported of itself.
+/// The state of the parent as of its last page.
 #[derive(Clone, Copy, Debug, Default)]
 struct ParentHead {
     version: Version,
     age_ms: u32,
 }
 
-/// A child, with its parent and the version that it is receiving.
+/// The child side of a process: its parent, and the version that it is receiving.
 pub struct Follower {
     interest: Interest,
-    /// Possible parents, in order of preference.
+    /// The configured parents, in order of preference.
     parents: Vec<SocketAddr>,
-    current: Option<SocketAddr>,
-    /// Index of the parent that is tried next.
+    current_parent: Option<SocketAddr>,
+    /// Index of the parent to try next.
     next_parent: usize,
-    /// How often all parents were tried since the last one was left.
+    /// Number of complete rounds over all parents since the last parent was left.
     rounds: u32,
     last_seen: Timestamp,
     report_at: Timestamp,
@@ -67,9 +69,9 @@
     unacknowledged: u32,
     /// Whether any page with changes was received since the last report.
     acknowledgement_pending: bool,
-    /// The records differ from the parent's under the same version: a snapshot is requested.
+    /// The records differ from the parent's under the same version, so that a snapshot is needed.
     needs_snapshot: bool,
-    /// Successive digest mismatches.
+    /// Number of successive digest mismatches.
     mismatches: u32,
     up_to_date_at: Option<Timestamp>,
     refused: Option<RefusedVersion>,
@@ -77,19 +79,19 @@
 }
 
 impl Follower {
-    /// A child without a parent and without records. It reports at once.
+    /// Creates a child without a parent and without records. Its first report is due at once.
     pub fn new(
         now: Timestamp,
         interest: Interest,
         parents: Vec<SocketAddr>,
-        own: SocketAddr,
+        own_address: SocketAddr,
         seed: u64,
     ) -> Follower {
-        let parents = parents.into_iter().filter(|parent| *parent != own).collect();
+        let parents = parents.into_iter().filter(|parent| *parent != own_address).collect();
         Follower {
             interest,
-            parents: by_preference(parents, own, seed),
-            current: None,
+            parents: by_preference(parents, own_address, seed),
+            current_parent: None,
             next_parent: 0,
             rounds: 0,
             last_seen: now,
@@ -110,23 +112,23 @@
         }
     }
 
-    /// The parent that it follows.
+    /// The parent that is followed.
     pub fn parent(&self) -> Option<SocketAddr> {
-        self.current
+        self.current_parent
     }
 
-    /// When it was last known to be up to date.
+    /// When the installed version was last known to be up to date.
     pub fn up_to_date_at(&self) -> Option<Timestamp> {
         self.up_to_date_at
     }
 
-    /// It is up to date now, as the publisher.
-    pub fn refresh(&mut self, now: Timestamp) {
+    /// Marks the log as up to date; called while this process is the publisher.
+    pub fn mark_up_to_date(&mut self, now: Timestamp) {
         self.up_to_date_at = Some(now);
     }
 
-    /// A version was installed by other means: the one being received is discarded.
-    pub fn overtaken(&mut self) {
+    /// Discards the version being received, after another one was installed by other means.
+    pub fn discard_staged(&mut self) {
         self.staging.clear();
     }
 
@@ -135,7 +137,7 @@
         self.refused.as_ref()
     }
 
-    /// Follows this process from now on, or none; the present parent is left.
+    /// Leaves the current parent, and follows only this process from now on, or none.
     pub fn follow(&mut self, now: Timestamp, parent: Option<SocketAddr>, out: &mut Vec<DistributionOutput>) {
         if self.parents.as_slice() == parent.as_slice() {
             return;
@@ -145,7 +147,7 @@
         self.rounds = 0;
         self.report_at = now;
         self.staging.change_parent(now);
-        if self.current.take().is_some() {
+        if self.current_parent.take().is_some() {
             out.push(DistributionOutput::Parent(None));
         }
     }
@@ -155,12 +157,12 @@
         if self.parents.is_empty() {
             return None;
         }
-        let silence = self.current.map(|_| self.last_seen + PARENT_TIMEOUT);
-        let check = self.current.filter(|_| self.parents.len() > 1).map(|_| self.staleness_check_at);
+        let silence = self.current_parent.map(|_| self.last_seen + PARENT_TIMEOUT);
+        let check = self.current_parent.filter(|_| self.parents.len() > 1).map(|_| self.staleness_check_at);
         [Some(self.report_at), silence, check].into_iter().flatten().min()
     }
 
-    /// The time of [`Follower::next_timeout`] has been reached.
+    /// Handles the timeout given by [`Follower::next_timeout`].
     pub fn on_timeout(
         &mut self,
         now: Timestamp,
@@ -171,50 +173,50 @@
         if self.parents.is_empty() {
             return;
         }
-        if self.current.is_some() && now - self.last_seen >= PARENT_TIMEOUT {
+        if self.current_parent.is_some() && now - self.last_seen >= PARENT_TIMEOUT {
             counters.parents_left += 1;
-            self.leave(now, out);
+            self.leave_parent(now, out);
         }
-        if self.current.is_some() && self.parents.len() > 1 && self.staleness_check_at <= now {
+        if self.current_parent.is_some() && self.parents.len() > 1 && self.staleness_check_at <= now {
             self.check_parent(now, log, out);
         }
         if self.report_at <= now {
-            self.report(now, log, out);
+            self.send_periodic_report(now, log, out);
         }
     }
 
-    /// Leaves the parent; the one after it is tried at once.
-    fn leave(&mut self, now: Timestamp, out: &mut Vec<DistributionOutput>) {
-        let Some(left) = self.current.take() else { return };
-        let place = self.parents.iter().position(|parent| *parent == left).unwrap_or(0);
-        self.next_parent = (place + 1) % self.parents.len().max(1);
+    /// Leaves the parent. The next one in order is tried at once.
+    fn leave_parent(&mut self, now: Timestamp, out: &mut Vec<DistributionOutput>) {
+        let Some(left) = self.current_parent.take() else { return };
+        let index = self.parents.iter().position(|parent| *parent == left).unwrap_or(0);
+        self.next_parent = (index + 1) % self.parents.len().max(1);
         self.rounds = 0;
         self.report_at = now;
         self.probe = None;
         out.push(DistributionOutput::Parent(None));
     }
 
-    fn report(&mut self, now: Timestamp, log: &Log, out: &mut Vec<DistributionOutput>) {
-        let pause = if let Some(parent) = self.current {
-            self.send_subscription(now, parent, log, out);
-            self.jittered(HEARTBEAT)
+    fn send_periodic_report(&mut self, now: Timestamp, log: &Log, out: &mut Vec<DistributionOutput>) {
+        let pause = if let Some(parent) = self.current_parent {
+            self.send_report(now, parent, log, out);
+            self.jittered(REPORT_INTERVAL)
         } else {
             let Some(parent) = self.parents.get(self.next_parent).copied() else { return };
-            self.send_subscription(now, parent, log, out);
+            self.send_report(now, parent, log, out);
             self.next_parent = (self.next_parent + 1) % self.parents.len();
-            let pause = self.jittered(Duration(HEARTBEAT.0 << self.rounds.min(MAX_BACKOFF_DOUBLINGS)));
+            let pause = self.jittered(Duration(REPORT_INTERVAL.0 << self.rounds.min(MAX_BACKOFF_DOUBLINGS)));
             self.rounds += u32::from(self.next_parent == 0);
             pause
         };
         self.report_at = now + pause;
     }
 
-    /// A quarter less to a quarter more.
+    /// Varies a time span by up to a quarter in both directions.
     fn jittered(&mut self, span: Duration) -> Duration {
         Duration(span.0 / 4 * 3 + self.rng.random_range(0..=span.0 / 2))
     }
 
-    fn send_subscription(
+    fn send_report(
         &mut self,
         now: Timestamp,
         parent: SocketAddr,
@@ -225,9 +227,9 @@
         if self.needs_snapshot {
             version.sequence = 0;
         }
-        let staged = self.staging.reached().filter(|staged| !self.needs_snapshot || staged.start == 0);
+        let staged = self.staging.progress().filter(|staged| !self.needs_snapshot || staged.start == 0);
         let report = ChildReport { interest: self.interest.clone(), version, digest: log.digest(), staged };
-        if self.current.is_none_or(|current| current == parent) {
+        if self.current_parent.is_none_or(|current| current == parent) {
             self.reported_at = now;
             self.unacknowledged = 0;
             self.acknowledgement_pending = false;
@@ -235,15 +237,16 @@
         out.push(DistributionOutput::Send(parent, DistributionMessage::Report(report)));
     }
 
-    /// Whether the parent was last up to date too long ago, or is behind this process.
+    /// Whether the parent has not been up to date for too long, or is behind this process.
     fn is_stale(&self, log: &Log) -> bool {
         self.parent_head.age_ms > STALE_MS || self.parent_head.version < log.version()
     }
 
-    /// Probes another parent: the next one where the present one is stale, or now and then the preferred one.
+    /// Probes another parent: the next one if the current one is stale, or the preferred one at intervals.
     fn check_parent(&mut self, now: Timestamp, log: &Log, out: &mut Vec<DistributionOutput>) {
         self.staleness_check_at = now + self.jittered(STALENESS_CHECK_INTERVAL);
-        let current = self.parents.iter().position(|parent| Some(*parent) == self.current).unwrap_or(0);
+        let current =
+            self.parents.iter().position(|parent| Some(*parent) == self.current_parent).unwrap_or(0);
         if self.is_stale(log) {
             let probed = self.probe.and_then(|probe| self.parents.iter().position(|at| *at == probe));
             let after = probed.unwrap_or(current);
@@ -257,11 +260,11 @@
             self.probe = None;
         }
         if let Some(probe) = self.probe {
-            self.send_subscription(now, probe, log, out);
+            self.send_report(now, probe, log, out);
         }
     }
 
-    /// Handles a page; pages of processes that are not parents are ignored.
+    /// Handles a page. Pages from processes that are not configured as parents are ignored.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -269,32 +272,32 @@
         page: Page,
         context: PageContext,
     ) -> PageOutcome {
-        if !self.is_possible(&page) || !self.parents.contains(&from) {
+        if !self.is_valid(&page) || !self.parents.contains(&from) {
             context.counters.odd += 1;
             return PageOutcome::Nothing;
         }
-        if self.current != Some(from) {
-            let wanted =
-                self.current.is_none() || self.probe == Some(from) && self.is_better(&page, &context);
+        if self.current_parent != Some(from) {
+            let wanted = self.current_parent.is_none()
+                || self.probe == Some(from) && self.is_better_parent(&page, &context);
             if !wanted {
                 return PageOutcome::Nothing;
             }
-            self.adopt(now, from, context.out);
+            self.adopt_parent(now, from, context.out);
         }
         self.last_seen = now;
         self.parent_head = ParentHead { version: page.head, age_ms: page.age_ms };
-        self.apply(now, from, page, context)
+        self.apply_page(now, from, page, context)
     }
 
-    /// Whether a page is valid. No page of a peer is used before.
-    fn is_possible(&self, page: &Page) -> bool {
+    /// Whether a page is valid. Nothing of a peer's page is used before this check.
+    fn is_valid(&self, page: &Page) -> bool {
         let ordered = page.start <= page.after && page.after <= page.upto && page.upto <= page.head.sequence;
         let fits = |change: &Change| self.interest.covers(change.topic) && change.is_well_formed();
         let in_range = page.head.sequence <= MAX_SEQUENCE;
         ordered && in_range && page.sequences().is_some() && page.changes.iter().all(fits)
     }
 
-    fn is_better(&self, page: &Page, context: &PageContext) -> bool {
+    fn is_better_parent(&self, page: &Page, context: &PageContext) -> bool {
         if page.head < context.log.version() {
             return false;
         }
@@ -306,56 +309,62 @@
         }
     }
 
-    fn adopt(&mut self, now: Timestamp, parent: SocketAddr, out: &mut Vec<DistributionOutput>) {
+    fn adopt_parent(&mut self, now: Timestamp, parent: SocketAddr, out: &mut Vec<DistributionOutput>) {
         self.staging.change_parent(now);
-        self.current = Some(parent);
+        self.current_parent = Some(parent);
         self.probe = None;
         self.rounds = 0;
-        self.report_at = self.report_at.min(now + HEARTBEAT);
+        self.report_at = self.report_at.min(now + REPORT_INTERVAL);
         self.preferred_check_at = now + self.jittered(PREFERRED_PARENT_CHECK_INTERVAL);
         self.staleness_check_at = now + self.jittered(STALENESS_CHECK_INTERVAL);
         out.push(DistributionOutput::Parent(Some(parent)));
     }
 
-    fn apply(&mut self, now: Timestamp, parent: SocketAddr, page: Page, context: PageContext) -> PageOutcome {
-        let own = context.log.version();
-        let age = page.age_ms;
-        if page.head <= own
+    fn apply_page(
+        &mut self,
+        now: Timestamp,
+        parent: SocketAddr,
+        page: Page,
+        context: PageContext,
+    ) -> PageOutcome {
+        let installed = context.log.version();
+        let age_ms = page.age_ms;
+        if page.head <= installed
             && !page.changes.is_empty()
             && now - self.reported_at >= MIN_ACKNOWLEDGEMENT_INTERVAL
         {
             // The page was sent again because its acknowledgement was lost.
-            self.send_subscription(now, parent, context.log, context.out);
+            self.send_report(now, parent, context.log, context.out);
         }
-        if page.head < own {
+        if page.head < installed {
             return PageOutcome::Nothing;
         }
         let same = page.digest == context.log.digest();
-        if page.head == own && same {
+        if page.head == installed && same {
             self.staging.clear();
             self.needs_snapshot = false;
             self.mismatches = 0;
-            self.mark_fresh(now, age);
+            self.update_freshness(now, age_ms);
             return PageOutcome::Nothing;
         }
-        if page.head == own && !self.needs_snapshot {
-            return self.mismatch(now, parent, context);
+        if page.head == installed && !self.needs_snapshot {
+            return self.handle_mismatch(now, parent, context);
         }
         let empty = page.after == page.head.sequence && page.changes.is_empty();
-        if empty && same && own.sequence > 0 && page.start == page.after {
+        if empty && same && installed.sequence > 0 && page.start == page.after {
             return self.adopt_version(now, parent, &page, context);
         }
         if self.needs_snapshot && page.start != 0 {
             return PageOutcome::Nothing;
         }
         if page.after == page.upto && page.upto < page.head.sequence {
-            // A heartbeat; pages will follow.
+            // This is a heartbeat; pages with the changes will follow.
             return PageOutcome::Nothing;
         }
         self.stage_page(now, parent, page, context)
     }
 
-    /// Adds a page to the version that is being received, and installs that version when it is complete.
+    /// Adds a page to the version being received, and installs that version once it is complete.
     fn stage_page(
         &mut self,
         now: Timestamp,
@@ -363,27 +372,27 @@
         page: Page,
         mut context: PageContext,
     ) -> PageOutcome {
-        let own = context.log.version();
-        let age = page.age_ms;
-        let base = if self.needs_snapshot { 0 } else { own.sequence };
+        let installed = context.log.version();
+        let age_ms = page.age_ms;
+        let base = if self.needs_snapshot { 0 } else { installed.sequence };
         self.acknowledgement_pending |= !page.changes.is_empty();
-        let advanced_by = self.staging.take(now, base, page);
+        let advanced_by = self.staging.add_page(now, base, page);
         if advanced_by == 0 {
-            // Out of order or repeated: the progress is reported, but not for each such page.
+            // The page was out of order or a repetition: the progress is reported, but not for each such page.
             if self.acknowledgement_pending && now - self.reported_at >= MIN_ACKNOWLEDGEMENT_INTERVAL {
-                self.send_subscription(now, parent, context.log, context.out);
+                self.send_report(now, parent, context.log, context.out);
             }
             return PageOutcome::Nothing;
         }
         self.unacknowledged += advanced_by;
-        let outcome = self.install_complete(now, parent, age, &mut context);
+        let outcome = self.install_complete(now, parent, age_ms, &mut context);
         if outcome == PageOutcome::Nothing && self.unacknowledged >= PAGES_PER_ACKNOWLEDGEMENT {
-            self.send_subscription(now, parent, context.log, context.out);
+            self.send_report(now, parent, context.log, context.out);
         }
         outcome
     }
 
-    /// The parent has the same records with another history: its version is adopted.
+    /// Adopts the version of a parent that has the same records under another history.
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
     fn adopt_version(
         &mut self,
@@ -398,60 +407,60 @@
         context.counters.installed += 1;
         context.out.push(DistributionOutput::Installed { version: page.head, changes: vec![] });
         self.refused = None;
-        self.mark_fresh(now, page.age_ms);
-        self.send_subscription(now, parent, context.log, context.out);
+        self.update_freshness(now, page.age_ms);
+        self.send_report(now, parent, context.log, context.out);
         PageOutcome::Replaced
     }
 
-    /// Installs the version being received once it is complete and valid.
+    /// Installs the version being received once it is complete and passes the checks.
     fn install_complete(
         &mut self,
         now: Timestamp,
         parent: SocketAddr,
-        age: u32,
+        age_ms: u32,
         context: &mut PageContext,
     ) -> PageOutcome {
         let mut outcome = PageOutcome::Nothing;
-        while let Some(verdict) = self.staging.verdict(context.log) {
-            if !verdict.matches {
+        while let Some(complete) = self.staging.complete_version(context.log) {
+            if !complete.is_consistent {
                 let context = PageContext {
                     log: &mut *context.log,
                     check: context.check,
                     counters: &mut *context.counters,
                     out: &mut *context.out,
                 };
-                self.mismatch(now, parent, context);
+                self.handle_mismatch(now, parent, context);
                 return outcome;
             }
-            if let Some(why) = context.check.and_then(|check| check.check(&verdict.changes).err()) {
-                self.refuse(verdict.head, why, context);
-                self.send_subscription(now, parent, context.log, context.out);
+            if let Some(why) = context.check.and_then(|check| check.check(&complete.changes).err()) {
+                self.record_refusal(complete.head, why, context);
+                self.send_report(now, parent, context.log, context.out);
                 return outcome;
             }
             let snapshot = self.staging.is_snapshot();
             context.counters.snapshots += u64::from(snapshot);
             context.counters.installed += 1;
-            outcome = outcome.and_installed(snapshot, &verdict.changes);
+            outcome = outcome.and_installed(snapshot, &complete.changes);
             let next = self.staging.install(context.log);
             self.needs_snapshot = false;
             self.mismatches = 0;
             self.refused = None;
             context
                 .out
-                .push(DistributionOutput::Installed { version: verdict.head, changes: verdict.changes });
-            self.mark_fresh(now, age);
+                .push(DistributionOutput::Installed { version: complete.head, changes: complete.changes });
+            self.update_freshness(now, age_ms);
             if self.acknowledgement_pending {
-                self.send_subscription(now, parent, context.log, context.out);
+                self.send_report(now, parent, context.log, context.out);
             }
             if let Some(page) = next {
                 self.acknowledgement_pending = true;
-                self.staging.take(now, context.log.version().sequence, page);
+                self.staging.add_page(now, context.log.version().sequence, page);
             }
         }
         outcome
     }
 
-    fn refuse(&mut self, version: Version, why: String, context: &mut PageContext) {
+    fn record_refusal(&mut self, version: Version, why: String, context: &mut PageContext) {
         if self.refused.as_ref().is_some_and(|refused| refused.version == version) {
             return;
         }
@@ -460,25 +469,25 @@
         self.refused = Some(RefusedVersion { version, why });
     }
 
-    /// The records differ from the parent's: a snapshot is requested, at once for the first time, and from another parent
-    /// where a snapshot itself did not match.
+    /// Handles records that differ from the parent's. Requests a snapshot, at once on the first mismatch; if a snapshot
+    /// itself repeatedly does not match, another parent is tried.
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
-    fn mismatch(&mut self, now: Timestamp, parent: SocketAddr, context: PageContext) -> PageOutcome {
-        let of_snapshot = self.staging.is_snapshot();
+    fn handle_mismatch(&mut self, now: Timestamp, parent: SocketAddr, context: PageContext) -> PageOutcome {
+        let was_snapshot = self.staging.is_snapshot();
         self.staging.clear();
         context.counters.mismatches += 1;
         self.mismatches += 1;
         self.needs_snapshot = true;
-        if of_snapshot && self.mismatches > 1 && self.parents.len() > 1 {
-            self.leave(now, context.out);
-            self.report_at = now + HEARTBEAT;
+        if was_snapshot && self.mismatches > 1 && self.parents.len() > 1 {
+            self.leave_parent(now, context.out);
+            self.report_at = now + REPORT_INTERVAL;
         } else if self.mismatches == 1 {
-            self.send_subscription(now, parent, context.log, context.out);
+            self.send_report(now, parent, context.log, context.out);
         }
         PageOutcome::Nothing
     }
 
-    fn mark_fresh(&mut self, now: Timestamp, age_ms: u32) {
+    fn update_freshness(&mut self, now: Timestamp, age_ms: u32) {
         if age_ms != Page::NEVER {
             let at = now - Duration::millis(u64::from(age_ms));
             self.up_to_date_at = Some(self.up_to_date_at.map_or(at, |fresh| fresh.max(at)));
--- a/src/fleet/distribution/interface.rs
+++ b/src/fleet/distribution/interface.rs
@@ -1,68 +1,68 @@
-//! What goes into a process's part in the distribution, and what comes out of it.
+//! Inputs and outputs of a process of the distribution, and its configuration.
 
 use super::record::{Change, Version};
 use super::wire::{DistributionMessage, Interest};
 use crate::fleet::lease::LeaseGrant;
 use std::net::SocketAddr;
 
-/// What a process is in its domain.
+/// The role of a process in its domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes what it is interested in; serves nobody.
+    /// Receives the records of its interest; serves no children.
     Subscriber,
-    /// Takes all, and serves children. No vote.
+    /// Receives all records, and serves children. Has no vote.
     Relay,
-    /// Takes all, serves children, votes on batches, and publishes while it holds the lease.
+    /// Receives all records, serves children, votes on batches, and publishes while it holds the lease.
     Replica,
 }
 
-/// What a process is set to.
+/// The configuration of a process.
 #[derive(Clone, Debug)]
 pub struct DistributionConfig {
     /// Its role.
     pub role: Role,
-    /// Its own address, as the others know it.
+    /// The address of this process, as its peers know it.
     pub own_address: SocketAddr,
-    /// What it wants. Relays and replicas want all, whatever is said here.
+    /// The topics to receive. Ignored for relays and replicas, which receive all.
     pub interest: Interest,
-    /// The processes that may feed it; replicas follow the publisher instead.
+    /// The possible parents of this process. Ignored for replicas, which follow the publisher.
     pub parents: Vec<SocketAddr>,
-    /// All replicas of the domain, including this process where it is one.
+    /// All replicas of the domain, including this process if it is one.
     pub replicas: Vec<SocketAddr>,
-    /// Bytes of pages a second, over all children that are catching up.
+    /// Rate limit for pages, over all children that are catching up together.
     pub catch_up_bytes_per_second: u64,
-    /// Decides the order of parents and all that is drawn.
+    /// Determines the order of parents, and seeds the random number generator.
     pub seed: u64,
 }
 
-/// Judges changes before they come into force.
+/// Validates changes before they are installed.
 pub trait ChangeCheck {
-    /// Whether these changes may come into force on top of what is; all or none. Why not, else.
+    /// Checks whether these changes may be installed together on top of the current records.
     ///
     /// # Errors
-    /// What is wrong with the first change that cannot come into force.
+    /// The reason why the first invalid change cannot be installed. None of the changes is installed then.
     fn check(&self, changes: &[Change]) -> Result<(), String>;
 }
 
-/// What happens to a process.
+/// An event that the process handles.
 #[derive(Debug)]
 pub enum DistributionInput<'a> {
-    /// Messages have come.
+    /// Messages were received.
     Received {
-        /// From where.
+        /// The sender.
         from: SocketAddr,
-        /// What was said.
+        /// The messages, in order.
         messages: &'a [DistributionMessage],
     },
-    /// The time of [`DistributionNode::next_timeout`] has come.
+    /// The time given by [`DistributionNode::next_timeout`] has been reached.
     Timer,
-    /// The publish lease is held from now on, or until later than before, or no longer.
+    /// The publish lease was granted, renewed, or lost (`None`).
     Lease(Option<LeaseGrant>),
-    /// These changes are to be published.
+    /// Changes are to be published.
     Publish {
-        /// Names them in what comes of it.
+        /// Identifies the changes in the outputs that report their outcome.
         ticket: u64,
-        /// The changes, in their order.
+        /// The changes, in order.
         changes: Vec<Change>,
     },
 }
@@ -70,48 +70,48 @@
 /// Why changes were not published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishError {
-    /// This process is not the publisher, or was none any more before the changes were proposed. None of the changes
-    /// that had not been proposed stands.
+    /// This process is not the publisher, or lost that role before it had proposed all changes. None of the changes
+    /// that had not been proposed is committed.
     NotPublisher,
-    /// They don't pass the checks.
+    /// The changes don't pass the checks.
     Invalid(String),
-    /// The lease was lost before a batch of them was committed: whether it stands is not known here.
+    /// The lease was lost before a batch of them was known to be committed: it may be committed or not.
     Superseded,
-    /// Too many changes wait already.
+    /// Too many changes are queued already.
     TooMany,
 }
 
-/// What is to be done.
+/// An action to perform, or an event to report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DistributionOutput {
     /// Send a message.
     Send(SocketAddr, DistributionMessage),
-    /// A version is in force here.
+    /// A version was installed.
     Installed {
-        /// Which.
+        /// The version.
         version: Version,
-        /// What differs from before, also after a snapshot: removals first.
+        /// The difference from the records before, also after a snapshot: removals first.
         changes: Vec<Change>,
     },
-    /// A version does not pass the check here; what was in force stays.
+    /// A version does not pass the checks; the installed one stays.
     Refused {
-        /// Which.
+        /// The version.
         version: Version,
-        /// The check's words.
+        /// The reason given by the check.
         why: String,
     },
     /// All changes of a ticket are committed.
     Published {
-        /// Which.
+        /// The ticket.
         ticket: u64,
-        /// The version that has all of them.
+        /// The version that contains all of them.
         version: Version,
     },
-    /// Changes were not published, or not known to be.
+    /// Changes were not published, or it is not known whether they were.
     NotPublished {
-        /// Which.
+        /// The ticket.
         ticket: u64,
-        /// Why.
+        /// The reason.
         why: PublishError,
     },
     /// The process follows another parent from now on, or none.
--- a/src/fleet/distribution/log.rs
+++ b/src/fleet/distribution/log.rs
@@ -1,31 +1,31 @@
-//! The compacted log: every record with the sequence of its last change, an index of those by topic, removed records
-//! for as long as children may need to hear of them, and digests kept up with each change.
+//! The compacted log: each record with the sequence of its last change, an index of these sequences by topic,
+//! tombstones of removed records for as long as children may need them, and digests that are updated with each change.
 //!
-//! A record is named by its topic and key; one that moves to another topic is removed from the first, by a change of its
-//! own. No two changes of one topic share a sequence. What a change costs goes by the change; only
-//! [`Log::difference`] and [`Log::rebase`], for what came whole, go over all records.
+//! A record is identified by its topic and key; one that moves to another topic is removed from the first one by a
+//! separate change. No two changes of one topic share a sequence. The cost of an operation depends on the number of
+//! changes; only [`Log::difference`] and [`Log::rebase`], which handle complete states, go over all records.
 
 use super::record::{Change, Key, Topic, Value, Version};
 use super::wire::{Interest, PAGE_BYTES};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Removed records that a topic remembers: at the size designed for, a topic has some 2,300 workers, so that all of them may
-/// be replaced once and most of them twice before a child that was away needs a snapshot.
+/// Maximum number of tombstones per topic. A topic of the size designed for has some 2,300 workers, so that all of them
+/// can be replaced once, and most of them twice, before a child that was away needs a snapshot.
 pub const MAX_TOMBSTONES: usize = 4_096;
-/// Epochs that are remembered: a child whose version is of an earlier one gets a snapshot. Publishers change some times a
-/// day, and a day's children fit many times over.
+/// Maximum number of epochs kept; a child whose version belongs to an earlier one gets a snapshot. The publisher
+/// changes a few times a day, so that 64 epochs cover much more than a day's absence.
 const MAX_EPOCHS: usize = 64;
 
-/// A change, and the sequence that it has.
-pub type Numbered = (u64, Change);
+/// A change with its sequence.
+pub type SequencedChange = (u64, Change);
 
 #[derive(Clone, Debug)]
 struct Entry {
-    /// Of the last change.
+    /// The sequence of the last change.
     sequence: u64,
-    /// Of the standing record; 0 for a removed one.
+    /// The hash of the record; 0 for a removed one.
     hash: u64,
-    /// Bytes of the change on the wire.
+    /// The encoded size of the change in bytes.
     size: u16,
     value: Option<Value>,
 }
@@ -33,49 +33,49 @@
 #[derive(Clone, Debug, Default)]
 struct TopicLog {
     entries: BTreeMap<Key, Entry>,
-    /// Which key was changed last at a sequence.
+    /// The key that was last changed at each sequence.
     index: BTreeMap<u64, Key>,
     tombstones: BTreeSet<u64>,
-    /// Removals up to this sequence may have been forgotten.
+    /// Tombstones up to this sequence may have been dropped.
     floor: u64,
     digest: u64,
-    standing: usize,
+    live: usize,
 }
 
-/// Versions from `first` on were committed under `fence`, until the next epoch.
+/// Versions from `first` on were committed under `fence`, up to the next epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Epoch {
     fence: u64,
     first: u64,
 }
 
-/// A part of the log for a child.
+/// A part of the log, as sent to a child in one page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Part {
     /// The last sequence that it covers.
     pub upto: u64,
-    /// Its changes, in order.
+    /// The changes, in order of their sequences.
     pub changes: Vec<Change>,
-    /// How far each one's sequence lies after that before it.
+    /// The distance of each change's sequence from that of the previous one.
     pub steps: Vec<u64>,
-    /// Bytes of the changes and their steps.
+    /// The encoded size of the changes and their steps.
     pub bytes: usize,
 }
 
-/// See the module's page.
+/// The compacted log of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     version: Version,
     topics: BTreeMap<Topic, TopicLog>,
     epochs: VecDeque<Epoch>,
-    /// What was removed up to this sequence is not known: the log began with a snapshot there.
-    base: u64,
+    /// Removals up to this sequence are not known, because the log began with a snapshot there.
+    snapshot_sequence: u64,
     digest: u64,
-    standing: usize,
+    live: usize,
 }
 
 impl TopicLog {
-    /// Sets or removes a record; the digests and counts of what was and what is.
+    /// Sets or removes a record, and updates the digest and the number of live records.
     fn apply(&mut self, sequence: u64, change: Change) {
         let hash = if change.value.is_some() { change.hash() } else { 0 };
         let size = u16::try_from(change.size()).unwrap_or(u16::MAX);
@@ -83,19 +83,19 @@
             self.index.remove(&old.sequence);
             self.tombstones.remove(&old.sequence);
             self.digest = self.digest.wrapping_sub(old.hash);
-            self.standing -= usize::from(old.value.is_some());
+            self.live -= usize::from(old.value.is_some());
         }
         self.digest = self.digest.wrapping_add(hash);
-        self.standing += usize::from(change.value.is_some());
+        self.live += usize::from(change.value.is_some());
         if change.value.is_none() {
             self.tombstones.insert(sequence);
         }
         self.index.insert(sequence, change.key.clone());
         self.entries.insert(change.key, Entry { sequence, hash, size, value: change.value });
-        self.forget();
+        self.drop_excess_tombstones();
     }
 
-    fn forget(&mut self) {
+    fn drop_excess_tombstones(&mut self) {
         while self.tombstones.len() > MAX_TOMBSTONES {
             let Some(sequence) = self.tombstones.pop_first() else { return };
             if let Some(key) = self.index.remove(&sequence) {
@@ -105,12 +105,12 @@
         }
     }
 
-    fn standing(&self) -> impl Iterator<Item = (&Key, &Entry, &Value)> {
+    fn live_records(&self) -> impl Iterator<Item = (&Key, &Entry, &Value)> {
         self.entries.iter().filter_map(|(key, entry)| Some((key, entry, entry.value.as_ref()?)))
     }
 
-    /// The first change after a sequence; removals only if they came after another.
-    fn next(&self, after: u64, removed_after: u64) -> Option<(u64, &Key, &Entry)> {
+    /// The first change after a sequence; removals are skipped unless they come after `removed_after`.
+    fn next_change(&self, after: u64, removed_after: u64) -> Option<(u64, &Key, &Entry)> {
         let later = self.index.range(after.saturating_add(1)..);
         let mut known = later.filter_map(|(at, key)| Some((*at, key, self.entries.get(key)?)));
         known.find(|(at, _, entry)| entry.value.is_some() || *at > removed_after)
@@ -118,22 +118,22 @@
 }
 
 impl Log {
-    /// The last version that is committed.
+    /// The last committed version.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Standing records.
+    /// Number of live records.
     pub fn len(&self) -> usize {
-        self.standing
+        self.live
     }
 
-    /// The digest over all standing records.
+    /// The digest over all live records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The digest over the standing records of an interest.
+    /// The digest over the live records of an interest.
     pub fn digest_of(&self, interest: &Interest) -> u64 {
         match interest {
             Interest::All => self.digest,
@@ -143,43 +143,45 @@
         }
     }
 
-    /// Removals of an interest up to this sequence may be unknown.
+    /// The sequence up to which removals in an interest may be unknown.
     pub fn floor(&self, interest: &Interest) -> u64 {
-        self.covered(interest).map(|(_, log)| log.floor).max().unwrap_or(0).max(self.base)
+        self.covered(interest).map(|(_, log)| log.floor).max().unwrap_or(0).max(self.snapshot_sequence)
     }
 
-    /// Where the epoch of the last version began.
-    pub fn since(&self) -> u64 {
+    /// The first sequence of the current epoch.
+    pub fn epoch_start(&self) -> u64 {
         self.epochs.back().map_or(0, |epoch| epoch.first)
     }
 
-    /// Whether a version is one that this log has gone through.
-    pub fn went_through(&self, version: Version) -> bool {
+    /// Whether a version is part of this log's history.
+    pub fn contains_version(&self, version: Version) -> bool {
         let epoch = self.epochs.iter().rev().find(|epoch| epoch.first <= version.sequence);
         version.sequence <= self.version.sequence && epoch.is_some_and(|epoch| epoch.fence == version.fence)
     }
 
-    /// A standing record.
+    /// A live record.
     pub fn get(&self, topic: Topic, key: &Key) -> Option<&Value> {
         self.topics.get(&topic)?.entries.get(key)?.value.as_ref()
     }
 
-    /// The topic in which a key stands.
+    /// The topic in which a key has a live record.
     pub fn topic_of(&self, key: &Key) -> Option<Topic> {
         self.topics.keys().copied().find(|topic| self.get(*topic, key).is_some())
     }
 
-    /// Whether the domain's first state is whole.
+    /// Whether the domain's first state is complete.
     pub fn is_complete(&self) -> bool {
         self.get(Topic::SETTINGS, &Key::Complete).is_some()
     }
 
-    /// All standing records.
+    /// All live records.
     pub fn records(&self) -> impl Iterator<Item = (Topic, &Key, &Value)> {
-        self.topics.iter().flat_map(|(topic, log)| log.standing().map(|(key, _, value)| (*topic, key, value)))
+        self.topics
+            .iter()
+            .flat_map(|(topic, log)| log.live_records().map(|(key, _, value)| (*topic, key, value)))
     }
 
-    /// The topics of an interest that there are.
+    /// The existing topics of an interest.
     fn covered<'a>(&'a self, interest: &'a Interest) -> Box<dyn Iterator<Item = (Topic, &'a TopicLog)> + 'a> {
         match interest {
             Interest::All => Box::new(self.topics.iter().map(|(topic, log)| (*topic, log))),
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Commits a batch: each change gets a sequence of its own.
+    /// Commits a batch: each change gets its own sequence.
     pub fn commit(&mut self, fence: u64, changes: impl IntoIterator<Item = Change>) {
         let since = self.version.sequence + 1;
         for change in changes {
@@ -203,29 +205,30 @@
     }
 
     /// Installs the changes received from a parent, up to its version.
-    pub fn install(&mut self, head: Version, since: u64, changes: impl IntoIterator<Item = Numbered>) {
+    pub fn install(&mut self, head: Version, since: u64, changes: impl IntoIterator<Item = SequencedChange>) {
         let first = since.max(self.version.sequence + 1).min(head.sequence);
         changes.into_iter().for_each(|(sequence, change)| self.apply(sequence, change));
         self.version = head;
         self.begin_epoch(head.fence, first);
     }
 
-    /// Takes in a change of a snapshot; one that came before what is known of its record is passed by.
-    pub fn put(&mut self, sequence: u64, change: Change) {
+    /// Adds a change of a snapshot, unless a later change of the same record is known.
+    pub fn apply_if_newer(&mut self, sequence: u64, change: Change) {
         let known = self.topics.get(&change.topic).and_then(|log| log.entries.get(&change.key));
         if known.is_none_or(|entry| entry.sequence <= sequence) {
             self.apply(sequence, change);
         }
     }
 
-    /// The snapshot is whole: this is what stands at a parent's version. What was removed before is not known.
-    pub fn finish(&mut self, head: Version, since: u64) {
-        (self.version, self.base) = (head, head.sequence);
+    /// Completes a snapshot: the records are now those of a parent's version. Removals before that version are not
+    /// known.
+    pub fn finish_snapshot(&mut self, head: Version, since: u64) {
+        (self.version, self.snapshot_sequence) = (head, head.sequence);
         self.epochs.clear();
         self.begin_epoch(head.fence, since.min(head.sequence));
     }
 
-    /// What makes this log's records those of another one: removals first.
+    /// The changes that turn this log's records into those of another log, removals first.
     pub fn difference(&self, other: &Log) -> Vec<Change> {
         let change = |topic, key: &Key, value| Change { topic, key: key.clone(), value };
         let gone = self.records().filter(|(topic, key, _)| other.get(*topic, key).is_none());
@@ -234,9 +237,9 @@
         gone.chain(new.map(|(topic, key, value)| change(topic, key, Some(value.clone())))).collect()
     }
 
-    /// What these changes come to on top of this log, one after another: removals first, each record once, and the digest
-    /// that comes of it.
-    pub fn net(&self, changes: impl IntoIterator<Item = Change>) -> (Vec<Change>, u64) {
+    /// The net effect of successive changes on this log, and the resulting digest. Contains each record once, removals
+    /// first.
+    pub fn net_changes(&self, changes: impl IntoIterator<Item = Change>) -> (Vec<Change>, u64) {
         let mut last: BTreeMap<(Topic, Key), Option<Value>> = BTreeMap::new();
         last.extend(changes.into_iter().map(|change| ((change.topic, change.key), change.value)));
         let mut digest = self.digest;
@@ -255,24 +258,24 @@
         (removed, digest)
     }
 
-    /// Keeps its records, but under the version and the sequences of another history that has come to the same records.
+    /// Keeps the records, but replaces version and sequences by those of another history that led to the same records.
     pub fn rebase(&mut self, head: Version, since: u64) {
         let old = std::mem::take(self);
-        let first = (head.sequence + 1).saturating_sub(old.standing as u64);
+        let first = (head.sequence + 1).saturating_sub(old.live as u64);
         let records: Vec<Change> = old
             .records()
             .map(|(topic, key, value)| Change { topic, key: key.clone(), value: Some(value.clone()) })
             .collect();
         (first..).zip(records).for_each(|(sequence, change)| self.apply(sequence, change));
-        self.finish(head, since);
+        self.finish_snapshot(head, since);
     }
 
     fn apply(&mut self, sequence: u64, change: Change) {
         let log = self.topics.entry(change.topic).or_default();
-        let (digest, standing) = (log.digest, log.standing);
+        let (digest, live) = (log.digest, log.live);
         log.apply(sequence, change);
         self.digest = self.digest.wrapping_sub(digest).wrapping_add(log.digest);
-        self.standing = self.standing + log.standing - standing;
+        self.live = self.live + log.live - live;
     }
 
     fn begin_epoch(&mut self, fence: u64, first: u64) {
@@ -283,16 +286,16 @@
         self.epochs.drain(..excess);
     }
 
-    /// The next part for a child: its changes after a sequence, as many as fit. Removals are included only where they came
-    /// after `removed_after`: before that the child had nothing that could be removed.
+    /// The next part for a child: the changes after a sequence, as many as fit into a page. Removals are included only
+    /// if they come after `removed_after`; before that, the child had no records that could be removed.
     pub fn part(&self, interest: &Interest, after: u64, removed_after: u64) -> Part {
         let mut part = Part { upto: after, ..Part::default() };
-        let next = |log: &TopicLog, after| log.next(after, removed_after).map(|(at, ..)| at);
+        let next = |log: &TopicLog, after| log.next_change(after, removed_after).map(|(at, ..)| at);
         let topics = self.covered(interest);
-        let mut waiting: BTreeMap<(u64, Topic), &TopicLog> =
+        let mut candidates: BTreeMap<(u64, Topic), &TopicLog> =
             topics.filter_map(|(topic, log)| Some(((next(log, after)?, topic), log))).collect();
-        while let Some(((at, topic), log)) = waiting.pop_first() {
-            let Some((_, key, entry)) = log.next(at - 1, removed_after) else { continue };
+        while let Some(((at, topic), log)) = candidates.pop_first() {
+            let Some((_, key, entry)) = log.next_change(at - 1, removed_after) else { continue };
             let step = at - part.upto;
             let bytes = part.bytes + usize::from(entry.size) + varint_size(step);
             if bytes > PAGE_BYTES && !part.changes.is_empty() {
@@ -303,7 +306,7 @@
             part.changes.push(Change { topic, key: key.clone(), value: entry.value.clone() });
             part.steps.push(step);
             if let Some(at) = next(log, at) {
-                waiting.insert((at, topic), log);
+                candidates.insert((at, topic), log);
             }
         }
         part.upto = self.version.sequence.max(after);
@@ -311,7 +314,7 @@
     }
 }
 
-/// Bytes of a number on the wire.
+/// The number of bytes of a number encoded as a varint.
 fn varint_size(number: u64) -> usize {
     (u64::BITS - number.leading_zeros()).div_ceil(7).max(1) as usize
 }
--- a/src/fleet/distribution/mod.rs
+++ b/src/fleet/distribution/mod.rs
@@ -3,10 +3,12 @@
 //! A domain has a few replicas, any number of relays and up to thousands of subscribers. The replica that holds the
 //! publish lease proposes batches of changes; a batch is committed once a majority of the replicas has accepted it, and
 //! only committed changes go down the tree: from replicas to relays and from relays to subscribers. Every process that
-//! serves others keeps a compacted log, so that a child that is any number of versions behind gets each changed record
-//! once, in pages that are paced. `docs/distribution.md` gives the design, its bounds and the options that were rejected.
+//! serves children keeps a compacted log, so that a child that is any number of versions behind gets each changed
+//! record once, in rate-limited pages. `docs/distribution.md` describes the design, its bounds and the rejected
+//! alternatives.
 //!
-//! [`DistributionNode`] is one process's part, without sockets or a clock: messages and the time go in, [`DistributionOutput`]s come out.
+//! [`DistributionNode`] is one process of the domain, without sockets or a clock: it takes messages and the time, and
+//! returns [`DistributionOutput`]s.
 
 mod batch;
 mod child;
--- a/src/fleet/distribution/page_context.rs
+++ b/src/fleet/distribution/page_context.rs
@@ -1,4 +1,4 @@
-//! What a child applies a page to, and the outcome.
+//! The context in which a child applies a page, and the outcome.
 
 use super::interface::{ChangeCheck, DistributionOutput};
 use super::log::Log;
@@ -6,31 +6,31 @@
 use super::status::DistributionCounters;
 use std::collections::BTreeSet;
 
-/// The outcome of a page.
+/// The outcome of applying a page.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PageOutcome {
     /// Nothing was installed.
     Nothing,
-    /// A version was installed; records of these topics have changed, or none.
+    /// A version was installed; the records of these topics have changed, if any.
     Changed(BTreeSet<Topic>),
     /// The log was replaced.
     Replaced,
 }
 
-/// What a page is applied to.
+/// The context in which a page is applied.
 pub struct PageContext<'a> {
     /// The committed records.
     pub log: &'a mut Log,
-    /// Validates changes before they are installed; `None` where they are only passed on.
+    /// Validates changes before they are installed; `None` if they are only forwarded.
     pub check: Option<&'a dyn ChangeCheck>,
-    /// Counters to be updated.
+    /// Counters to update.
     pub counters: &'a mut DistributionCounters,
-    /// Receives what is to be done.
+    /// Receives the outputs.
     pub out: &'a mut Vec<DistributionOutput>,
 }
 
 impl PageOutcome {
-    /// The outcome after another version was installed, from a snapshot or with these changes.
+    /// Combines the outcome with that of another installed version, which came from a snapshot or with these changes.
     pub fn and_installed(self, snapshot: bool, changes: &[Change]) -> PageOutcome {
         if snapshot {
             return PageOutcome::Replaced;
--- a/src/fleet/distribution/publisher.rs
+++ b/src/fleet/distribution/publisher.rs
@@ -1,8 +1,8 @@
-//! The publisher, which holds the publish lease: it learns what is committed, then has one batch after another accepted by
-//! a majority of the replicas.
+//! The publisher side of a replica. While it holds the publish lease, it learns what is committed, then has one batch
+//! after another accepted by a majority of the replicas.
 //!
-//! Paxos over single batches with the fence of the lease as ballot. Usually the lease alone prevents two publishers; where it
-//! does not, the fence and the majority keep the log consistent.
+//! The protocol is Paxos for one batch at a time, with the fence of the lease as ballot. Usually the lease alone
+//! prevents two publishers; where it does not, the fence and the majority keep the log consistent.
 
 use super::batch::Batch;
 use super::log::Log;
@@ -14,24 +14,25 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Interval after which unanswered requests are sent again.
+/// Unanswered requests are sent again after this interval.
 const RETRY_INTERVAL: Duration = Duration::millis(250);
-/// Time to wait for all replicas where a majority has lost its state: enough for a replica to start, or for a short failure of
-/// its link. Where less than a majority has lost its state, the publisher waits for a majority that has not, or for all
-/// replicas: nothing that was acknowledged is lost while a majority is alive.
+/// Time to wait for the promises of all replicas once a majority has lost its state: enough for a replica to start or
+/// for a short link failure to pass. Where less than a majority has lost its state, the publisher waits, without a
+/// limit, for a majority that has kept it or for all replicas, so that nothing that was acknowledged is lost while a
+/// majority is alive.
 const FULL_QUORUM_WAIT: Duration = Duration::millis(5_000);
-/// Time after which a catch-up with another replica is restarted, possibly with a different one.
+/// A catch-up with another replica is restarted after this time, possibly with a different replica.
 const CATCH_UP_TIMEOUT: Duration = Duration::millis(10_000);
 /// Interval at which the publisher announces itself to replicas that are not its children.
 const ANNOUNCE_INTERVAL: Duration = Duration::millis(500);
-/// Largest number of queued changes: twice the number of workers of the size designed for.
+/// Maximum number of queued changes: twice the number of workers that a domain is designed for.
 pub const MAX_QUEUED: usize = 100_000;
-/// Largest number of queued tickets, including empty ones.
+/// Maximum number of queued tickets, including those without changes.
 const MAX_TICKETS: usize = 10_000;
 
 /// A replica's promise.
 #[derive(Clone, Debug)]
-struct Promised {
+struct ReplicaPromise {
     version: Version,
     recovered: bool,
     accepted: Option<(u64, Proposal)>,
@@ -39,13 +40,13 @@
 
 #[derive(Debug)]
 enum Phase {
-    /// Inactive: the lease is not held, or a higher fence was seen.
-    Rest,
-    /// Promises are collected.
-    Preparing { since: Timestamp, promises: BTreeMap<SocketAddr, Promised> },
-    /// A majority has promised; the highest version among them is fetched from its replica.
+    /// The lease is not held, or a higher fence was seen.
+    Inactive,
+    /// Promises are being collected.
+    Preparing { since: Timestamp, promises: BTreeMap<SocketAddr, ReplicaPromise> },
+    /// Enough replicas have promised; the highest version among them is being fetched from its replica.
     CatchingUp { since: Timestamp, target: Version, accepted: Vec<(u64, Proposal)> },
-    /// Batches are proposed.
+    /// Batches are being proposed.
     Serving,
 }
 
@@ -53,15 +54,15 @@
 struct Ticket {
     ticket: u64,
     changes: VecDeque<Change>,
-    /// Whether some of its changes were proposed.
-    begun: bool,
+    /// Whether any of its changes was proposed.
+    proposed: bool,
 }
 
 #[derive(Debug)]
 struct ProposalInProgress {
     proposal: Proposal,
     accepted: BTreeSet<SocketAddr>,
-    /// Replicas that could not accept it because they have not caught up yet.
+    /// Replicas that rejected it because they have not caught up yet.
     behind: BTreeSet<SocketAddr>,
     /// Tickets that are complete once the batch is committed.
     tickets: Vec<u64>,
@@ -72,21 +73,21 @@
 pub enum PublisherAction {
     /// Send a message to a replica.
     Send(SocketAddr, DistributionMessage),
-    /// Follow this replica, to catch up with it; or none.
+    /// Follow this replica to catch up with it, or stop following.
     Follow(Option<SocketAddr>),
     /// Commit a batch, which completes these tickets.
     Commit(Proposal, Vec<u64>),
-    /// A ticket is complete: all of its changes are committed already.
-    Stands(u64),
-    /// A ticket was dropped, and whether some of its changes were proposed.
-    Drop(u64, bool),
+    /// Report a ticket as published: all of its changes are committed already.
+    AlreadyCommitted(u64),
+    /// Report a ticket as dropped; the flag tells whether any of its changes was proposed.
+    DropTicket(u64, bool),
 }
 
 /// The publisher side of a replica.
 #[derive(Debug)]
 pub struct Publisher {
-    own: SocketAddr,
-    /// The other replicas.
+    own_address: SocketAddr,
+    /// The other replicas of the domain.
     replicas: Vec<SocketAddr>,
     grant: Option<LeaseGrant>,
     phase: Phase,
@@ -98,14 +99,14 @@
 }
 
 impl Publisher {
-    /// A replica that does not hold the lease.
-    pub fn new(own: SocketAddr, replicas: &[SocketAddr]) -> Publisher {
-        let others: BTreeSet<SocketAddr> = replicas.iter().copied().filter(|at| *at != own).collect();
+    /// Creates the publisher of a replica that does not hold the lease.
+    pub fn new(own_address: SocketAddr, replicas: &[SocketAddr]) -> Publisher {
+        let others: BTreeSet<SocketAddr> = replicas.iter().copied().filter(|at| *at != own_address).collect();
         Publisher {
-            own,
+            own_address,
             replicas: others.into_iter().collect(),
             grant: None,
-            phase: Phase::Rest,
+            phase: Phase::Inactive,
             queue: VecDeque::new(),
             queued: 0,
             in_progress: None,
@@ -118,14 +119,14 @@
         self.replicas.len().div_ceil(2) + 1
     }
 
-    /// The fence, while the lease is held and has not been overtaken.
+    /// The fence of the lease while it is held and no higher fence was seen.
     pub fn fence(&self, now: Timestamp) -> Option<u64> {
-        let at_rest = matches!(self.phase, Phase::Rest);
-        self.grant.filter(|grant| now < grant.until && !at_rest).map(|grant| grant.fence)
+        let inactive = matches!(self.phase, Phase::Inactive);
+        self.grant.filter(|grant| now < grant.until && !inactive).map(|grant| grant.fence)
     }
 
-    /// The fence, while it publishes.
-    pub fn serves(&self, now: Timestamp) -> Option<u64> {
+    /// The fence under which this replica publishes, once it has caught up.
+    pub fn serving_fence(&self, now: Timestamp) -> Option<u64> {
         self.fence(now).filter(|_| matches!(self.phase, Phase::Serving))
     }
 
@@ -133,7 +134,7 @@
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let until = self.grant?.until;
         let next = match self.phase {
-            Phase::Rest => until,
+            Phase::Inactive => until,
             Phase::Serving if self.in_progress.is_some() => self.retry_at.min(self.announce_at),
             Phase::Serving => self.announce_at,
             Phase::Preparing { .. } | Phase::CatchingUp { .. } => self.retry_at,
@@ -141,8 +142,8 @@
         Some(next.min(until))
     }
 
-    /// The lease was acquired, renewed or lost.
-    pub fn lease(
+    /// Handles a lease that was acquired, renewed or lost.
+    pub fn set_grant(
         &mut self,
         now: Timestamp,
         grant: Option<LeaseGrant>,
@@ -165,28 +166,30 @@
         actions
     }
 
-    /// Stops publishing, and drops all tickets.
+    /// Stops publishing and drops all tickets.
     fn step_down(&mut self, actions: &mut Vec<PublisherAction>) {
         if matches!(self.phase, Phase::CatchingUp { .. }) {
             actions.push(PublisherAction::Follow(None));
         }
-        self.phase = Phase::Rest;
+        self.phase = Phase::Inactive;
         let in_progress = self.in_progress.take();
         actions.extend(
             in_progress
                 .into_iter()
                 .flat_map(|in_progress| in_progress.tickets)
-                .map(|it| PublisherAction::Drop(it, true)),
+                .map(|ticket| PublisherAction::DropTicket(ticket, true)),
+        );
+        actions.extend(
+            self.queue.drain(..).map(|ticket| PublisherAction::DropTicket(ticket.ticket, ticket.proposed)),
         );
-        actions.extend(self.queue.drain(..).map(|ticket| PublisherAction::Drop(ticket.ticket, ticket.begun)));
         self.queued = 0;
     }
 
-    /// A higher fence was seen: this publisher was superseded if its own is lower.
-    pub fn overtaken(&mut self, promised: u64) -> Vec<PublisherAction> {
+    /// Handles a fence that was promised elsewhere: a publisher with a lower one is superseded.
+    pub fn observe_fence(&mut self, promised: u64) -> Vec<PublisherAction> {
         let mut actions = vec![];
-        let rests = matches!(self.phase, Phase::Rest);
-        if !rests && self.grant.is_some_and(|grant| grant.fence < promised) {
+        let inactive = matches!(self.phase, Phase::Inactive);
+        if !inactive && self.grant.is_some_and(|grant| grant.fence < promised) {
             self.step_down(&mut actions);
         }
         actions
@@ -198,16 +201,16 @@
         let DistributionMessage::Promise { version, recovered, accepted, .. } =
             voter.prepare(grant.fence, log)
         else {
-            self.phase = Phase::Rest;
+            self.phase = Phase::Inactive;
             return;
         };
-        promises.insert(self.own, Promised { version, recovered, accepted });
+        promises.insert(self.own_address, ReplicaPromise { version, recovered, accepted });
         self.phase = Phase::Preparing { since: now, promises };
         self.request_promises(now, actions);
-        self.decide(now, voter, log, actions);
+        self.evaluate_promises(now, voter, log, actions);
     }
 
-    /// Requests promises from the replicas that have not given one.
+    /// Requests a promise from each replica that has not given one.
     fn request_promises(&mut self, now: Timestamp, actions: &mut Vec<PublisherAction>) {
         let (Phase::Preparing { promises, .. }, Some(grant)) = (&self.phase, self.grant) else { return };
         let missing = self.replicas.iter().filter(|at| !promises.contains_key(at));
@@ -217,18 +220,24 @@
         self.retry_at = now + RETRY_INTERVAL;
     }
 
-    /// Continues once enough replicas have promised.
-    fn decide(&mut self, now: Timestamp, voter: &mut Voter, log: &Log, actions: &mut Vec<PublisherAction>) {
+    /// Starts to catch up once enough replicas have promised.
+    fn evaluate_promises(
+        &mut self,
+        now: Timestamp,
+        voter: &mut Voter,
+        log: &Log,
+        actions: &mut Vec<PublisherAction>,
+    ) {
         let majority = self.majority();
         let Phase::Preparing { since, promises } = &self.phase else { return };
         let recovered = promises.values().filter(|promised| promised.recovered).count();
-        let all = promises.len() > self.replicas.len();
-        // Where a majority has lost its state, there is no majority that has not to wait for.
-        let late = now - *since >= FULL_QUORUM_WAIT && promises.len() - recovered >= majority;
-        if recovered < majority && !all && !late {
+        let all_promised = promises.len() > self.replicas.len();
+        // Once a majority has lost its state, there is no majority with its state left to wait for.
+        let wait_over = now - *since >= FULL_QUORUM_WAIT && promises.len() - recovered >= majority;
+        if recovered < majority && !all_promised && !wait_over {
             return;
         }
-        let Some((best, version)) =
+        let Some((source, version)) =
             promises.iter().map(|(at, promised)| (*at, promised.version)).max_by_key(|(_, version)| *version)
         else {
             return;
@@ -237,13 +246,14 @@
         self.phase = Phase::CatchingUp { since: now, target: version, accepted };
         self.retry_at = now + RETRY_INTERVAL;
         if version > log.version() {
-            actions.push(PublisherAction::Follow(Some(best)));
+            actions.push(PublisherAction::Follow(Some(source)));
         }
-        self.caught_up(now, voter, log, actions);
+        self.finish_catch_up(now, voter, log, actions);
     }
 
-    /// Publishes once it has the highest promised version; a batch that may have been committed is proposed first.
-    fn caught_up(
+    /// Starts to publish once the log has the highest promised version. A batch that may have been committed is
+    /// proposed first.
+    fn finish_catch_up(
         &mut self,
         now: Timestamp,
         voter: &mut Voter,
@@ -254,22 +264,22 @@
         if log.version() < *target {
             return;
         }
-        let follows = accepted.iter().filter(|(_, proposal)| proposal.after == log.version());
-        let open = follows.max_by_key(|(fence, _)| *fence).map(|(_, proposal)| proposal.clone());
+        let candidates = accepted.iter().filter(|(_, proposal)| proposal.after == log.version());
+        let unfinished = candidates.max_by_key(|(fence, _)| *fence).map(|(_, proposal)| proposal.clone());
         self.phase = Phase::Serving;
         self.announce_at = now;
-        voter.recover();
+        voter.mark_recovered();
         actions.push(PublisherAction::Follow(None));
-        match open {
+        match unfinished {
             Some(proposal) => self.propose(now, proposal, vec![], voter, log, actions),
-            None => self.next(now, voter, log, actions),
+            None => self.propose_next(now, voter, log, actions),
         }
     }
 
-    /// The log has advanced by pages of another replica.
-    pub fn moved(&mut self, now: Timestamp, voter: &mut Voter, log: &Log) -> Vec<PublisherAction> {
+    /// Continues after the log has advanced by pages of another replica.
+    pub fn log_advanced(&mut self, now: Timestamp, voter: &mut Voter, log: &Log) -> Vec<PublisherAction> {
         let mut actions = vec![];
-        self.caught_up(now, voter, log, &mut actions);
+        self.finish_catch_up(now, voter, log, &mut actions);
         actions
     }
 
@@ -283,8 +293,9 @@
         actions: &mut Vec<PublisherAction>,
     ) {
         let Some(fence) = self.fence(now) else { return };
-        let own = matches!(voter.accept(fence, proposal.clone(), log), DistributionMessage::Accepted { .. });
-        let accepted = own.then_some(self.own).into_iter().collect();
+        let accepted_here =
+            matches!(voter.accept(fence, proposal.clone(), log), DistributionMessage::Accepted { .. });
+        let accepted = accepted_here.then_some(self.own_address).into_iter().collect();
         self.in_progress = Some(ProposalInProgress { proposal, accepted, behind: BTreeSet::new(), tickets });
         self.send_proposal(now, actions);
         self.commit_if_accepted(now, actions);
@@ -293,7 +304,7 @@
     /// Sends the proposed batch to the replicas that have not accepted it, while the lease is held.
     fn send_proposal(&mut self, now: Timestamp, actions: &mut Vec<PublisherAction>) {
         self.retry_at = now + RETRY_INTERVAL;
-        let (Some(fence), Some(in_progress)) = (self.serves(now), &self.in_progress) else { return };
+        let (Some(fence), Some(in_progress)) = (self.serving_fence(now), &self.in_progress) else { return };
         let missing = self.replicas.iter().filter(|at| !in_progress.accepted.contains(at));
         let accept = DistributionMessage::Accept { fence, proposal: in_progress.proposal.clone() };
         actions.extend(missing.map(|at| PublisherAction::Send(*at, accept.clone())));
@@ -302,7 +313,7 @@
     /// Commits the proposed batch once a majority has accepted it.
     fn commit_if_accepted(&mut self, now: Timestamp, actions: &mut Vec<PublisherAction>) {
         let majority = self.majority();
-        if self.serves(now).is_none() {
+        if self.serving_fence(now).is_none() {
             return;
         }
         if let Some(in_progress) =
@@ -312,23 +323,29 @@
         }
     }
 
-    /// Proposes the next batch from the queue, unless one is in progress.
-    pub fn next(&mut self, now: Timestamp, voter: &mut Voter, log: &Log, actions: &mut Vec<PublisherAction>) {
-        let Some(fence) = self.serves(now) else { return };
+    /// Proposes the next batch from the queue, unless a proposal is in progress.
+    pub fn propose_next(
+        &mut self,
+        now: Timestamp,
+        voter: &mut Voter,
+        log: &Log,
+        actions: &mut Vec<PublisherAction>,
+    ) {
+        let Some(fence) = self.serving_fence(now) else { return };
         if self.in_progress.is_some() || self.queue.is_empty() {
             return;
         }
-        let (changes, tickets) = self.batch(log);
+        let (changes, tickets) = self.take_batch(log);
         if changes.is_empty() {
-            actions.extend(tickets.into_iter().map(PublisherAction::Stands));
+            actions.extend(tickets.into_iter().map(PublisherAction::AlreadyCommitted));
             return;
         }
         let proposal = Proposal { fence, after: log.version(), changes };
         self.propose(now, proposal, tickets, voter, log, actions);
     }
 
-    /// Takes as many changes from the queue as fit into a batch, without those that have no effect.
-    fn batch(&mut self, log: &Log) -> (Vec<Change>, Vec<u64>) {
+    /// Takes as many changes from the queue as fit into a batch, and skips those without effect.
+    fn take_batch(&mut self, log: &Log) -> (Vec<Change>, Vec<u64>) {
         let mut batch = Batch::new(log);
         let mut tickets = vec![];
         while let Some(ticket) = self.queue.front_mut() {
@@ -338,7 +355,7 @@
                 }
                 ticket.changes.pop_front();
                 self.queued -= 1;
-                ticket.begun |= !batch.changes.is_empty();
+                ticket.proposed |= !batch.changes.is_empty();
             }
             tickets.extend(self.queue.pop_front().map(|ticket| ticket.ticket));
         }
@@ -361,12 +378,12 @@
     ) -> Vec<PublisherAction> {
         let mut actions = vec![];
         self.queued += changes.len();
-        self.queue.push_back(Ticket { ticket, changes: changes.into(), begun: false });
-        self.next(now, voter, log, &mut actions);
+        self.queue.push_back(Ticket { ticket, changes: changes.into(), proposed: false });
+        self.propose_next(now, voter, log, &mut actions);
         actions
     }
 
-    /// Handles a message of another replica.
+    /// Handles a message from another replica.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -376,16 +393,16 @@
         log: &Log,
     ) -> Vec<PublisherAction> {
         let mut actions = vec![];
-        let Some(own) = self.fence(now).filter(|_| self.replicas.contains(&from)) else { return actions };
+        let Some(held) = self.fence(now).filter(|_| self.replicas.contains(&from)) else { return actions };
         match message {
-            DistributionMessage::Promise { fence, version, recovered, accepted } if fence == own => {
+            DistributionMessage::Promise { fence, version, recovered, accepted } if fence == held => {
                 if let Phase::Preparing { promises, .. } = &mut self.phase {
-                    let accepted = accepted.filter(|(_, proposal)| super::voter::is_batch(proposal));
-                    promises.insert(from, Promised { version, recovered, accepted });
-                    self.decide(now, voter, log, &mut actions);
+                    let accepted = accepted.filter(|(_, proposal)| super::voter::is_valid_batch(proposal));
+                    promises.insert(from, ReplicaPromise { version, recovered, accepted });
+                    self.evaluate_promises(now, voter, log, &mut actions);
                 }
             }
-            DistributionMessage::Accepted { fence, after } if fence == own => {
+            DistributionMessage::Accepted { fence, after } if fence == held => {
                 if let Some(in_progress) =
                     self.in_progress.as_mut().filter(|batch| batch.proposal.after.sequence == after)
                 {
@@ -393,8 +410,8 @@
                     self.commit_if_accepted(now, &mut actions);
                 }
             }
-            DistributionMessage::Rejected { promised, .. } if promised > own => {
-                actions = self.overtaken(promised);
+            DistributionMessage::Rejected { promised, .. } if promised > held => {
+                actions = self.observe_fence(promised);
             }
             DistributionMessage::Rejected { .. } => {
                 if let Some(in_progress) = &mut self.in_progress {
@@ -406,27 +423,29 @@
         actions
     }
 
-    /// A replica has reported its version: one that has caught up is sent the proposed batch again.
-    pub fn reported(
+    /// Handles the version that a replica has reported: one that has caught up since it rejected the proposed batch is
+    /// sent it again.
+    pub fn handle_report(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
         version: Version,
     ) -> Option<PublisherAction> {
-        let fence = self.serves(now)?;
+        let fence = self.serving_fence(now)?;
         let in_progress =
             self.in_progress.as_mut().filter(|in_progress| in_progress.proposal.after == version)?;
         let accept = DistributionMessage::Accept { fence, proposal: in_progress.proposal.clone() };
         in_progress.behind.remove(&from).then_some(PublisherAction::Send(from, accept))
     }
 
-    /// The time of [`Publisher::next_timeout`] has been reached. `follows` tells whether a replica follows this process.
+    /// Handles the timeout given by [`Publisher::next_timeout`]. `is_child` tells whether a replica follows this
+    /// process.
     pub fn on_timeout(
         &mut self,
         now: Timestamp,
         voter: &mut Voter,
         log: &Log,
-        follows: impl Fn(SocketAddr) -> bool,
+        is_child: impl Fn(SocketAddr) -> bool,
     ) -> Vec<PublisherAction> {
         let mut actions = vec![];
         let Some(grant) = self.grant else { return actions };
@@ -438,7 +457,7 @@
         match &self.phase {
             Phase::Preparing { .. } if self.retry_at <= now => {
                 self.request_promises(now, &mut actions);
-                self.decide(now, voter, log, &mut actions);
+                self.evaluate_promises(now, voter, log, &mut actions);
             }
             Phase::CatchingUp { since, .. } if self.retry_at <= now => {
                 self.retry_at = now + RETRY_INTERVAL;
@@ -453,7 +472,7 @@
                 }
                 if self.announce_at <= now {
                     self.announce_at = now + ANNOUNCE_INTERVAL;
-                    let unconnected = self.replicas.iter().filter(|at| !follows(**at));
+                    let unconnected = self.replicas.iter().filter(|at| !is_child(**at));
                     let prepare = DistributionMessage::Prepare { fence: grant.fence };
                     actions.extend(unconnected.map(|at| PublisherAction::Send(*at, prepare.clone())));
                 }
--- a/src/fleet/distribution/record.rs
+++ b/src/fleet/distribution/record.rs
@@ -1,4 +1,4 @@
-//! What is distributed: records under keys, sorted into topics, and the changes that make them.
+//! The distributed data: records identified by topic and key, and changes to them.
 
 use crate::interface::{CellId, KindId, Member, State, Timestamp, WorkerId, ZoneId};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 /// Largest encoded change, in bytes: a change fits into one datagram.
 pub const LARGEST_CHANGE: usize = 1_000;
 
-/// A part of the records that a process may be interested in.
+/// A group of records that a process can subscribe to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Topic(pub u16);
 
@@ -21,20 +21,20 @@
     }
 }
 
-/// A committed version of a domain. Sequence numbers count changes without gaps; the fence is that of the lease under
-/// which the change was committed.
+/// A committed version of a domain. The sequence counts changes without gaps; the fence is that of the lease under
+/// which the version was committed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The publisher's fence.
     pub fence: u64,
-    /// Changes since the domain began.
+    /// Number of changes since the domain was created.
     pub sequence: u64,
 }
 
-/// What a record is about.
+/// Identifies a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// The domain's first state is whole. Until it stands nothing is served to children.
+    /// Marks the domain's first state as complete. Until this record exists, nothing is served to children.
     Complete,
     /// A worker, by its id.
     Worker(u64),
@@ -42,38 +42,38 @@
     Class(String),
 }
 
-/// A record's content.
+/// The content of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Value {
-    /// Of [`Key::Complete`].
+    /// The value of [`Key::Complete`].
     Complete,
-    /// Of [`Key::Worker`].
+    /// The value of [`Key::Worker`].
     Worker(WorkerRecord),
-    /// Of [`Key::Class`]: the class as JSON, as the settings have it.
+    /// The value of [`Key::Class`]: the class as JSON, in the form of the settings.
     Class(String),
 }
 
-/// A worker as the list tells of it.
+/// A worker of the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: u8,
-    /// Its group for keys.
+    /// Its cell: the group of workers that detect repeats of the same key together.
     pub cell: u16,
-    /// Its machine kind.
+    /// Its kind of machine.
     pub kind: u8,
-    /// Whether it finishes what it has and takes nothing new.
+    /// Whether it finishes its current requests and takes no new ones.
     pub draining: bool,
-    /// Relative size, in thousandths.
+    /// Its relative size, in thousandths.
     pub weight_milli: u32,
-    /// When it last started, as a Unix time in milliseconds; 0 where that was long ago.
+    /// When it last started, as a Unix time in milliseconds; 0 if that was long ago.
     pub started_ms: u64,
 }
 
 impl WorkerRecord {
-    /// The record of a line of the list; none for a worker that is gone.
+    /// The record of a member of the worker list; `None` for a worker that is gone.
     pub fn of(member: &Member, address: SocketAddr) -> Option<WorkerRecord> {
         (member.state != State::Gone).then(|| WorkerRecord {
             address,
@@ -86,7 +86,7 @@
         })
     }
 
-    /// The line of the list that this record stands for.
+    /// The member of the worker list that this record describes.
     pub fn member(&self, worker: u64) -> Member {
         Member {
             worker: WorkerId(worker),
@@ -100,19 +100,19 @@
     }
 }
 
-/// A record that is set, or removed where it has no value.
+/// A change to one record, which is set or, without a value, removed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     /// The topic of the record.
     pub topic: Topic,
-    /// Which record.
+    /// The key of the record.
     pub key: Key,
-    /// Its new content.
+    /// The new value; `None` to remove the record.
     pub value: Option<Value>,
 }
 
 impl Change {
-    /// Whether key, topic and value fit together, and the change fits into a datagram.
+    /// Whether key, topic and value belong together, and the change fits into a datagram.
     pub fn is_well_formed(&self) -> bool {
         let kinds = match (&self.key, &self.value) {
             (Key::Complete, Some(Value::Complete)) => self.topic == Topic::SETTINGS,
@@ -126,12 +126,12 @@
         kinds && self.size() <= LARGEST_CHANGE
     }
 
-    /// Bytes that it takes on the wire.
+    /// The encoded size in bytes; `usize::MAX` if the change cannot be encoded.
     pub fn size(&self) -> usize {
         postcard::to_stdvec(self).map_or(usize::MAX, |bytes| bytes.len())
     }
 
-    /// A hash of the record, for digests: the same at every process.
+    /// A hash of the record for digests, which is the same at every process.
     pub fn hash(&self) -> u64 {
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
--- a/src/fleet/distribution/stage.rs
+++ b/src/fleet/distribution/stage.rs
@@ -1,7 +1,8 @@
-//! Pages of a catch-up, until they are whole: in order or not, repeated or not.
+//! Assembles the pages of a catch-up, which may arrive out of order or repeatedly, until they are complete.
 //!
-//! A stage of changes follows on the version in force; a stage from 0 on becomes a log of its own that replaces the one in
-//! force. Nothing of it counts before it is whole and its digest is the parent's.
+//! A stage of changes extends the installed version; a stage that starts at 0 is a snapshot, which builds a log of its
+//! own that replaces the installed one. A stage takes effect only once it is complete and its digest matches the
+//! parent's.
 
 use super::log::Log;
 use super::record::{Change, Key, Topic, Value, Version};
@@ -9,65 +10,65 @@
 use crate::interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Pages that a parent sends beyond what was acknowledged; as many that came too early are kept.
-pub const WINDOW: usize = 16;
-/// Time without progress after which a parent that starts over is believed, and not taken for a late page: longer than the
-/// spread of pages that were sent together, and less than their resend timeout.
+/// Number of pages that a parent sends beyond the acknowledged ones; also the number of early pages that are buffered.
+pub const WINDOW_PAGES: usize = 16;
+/// Time without progress after which pages of a parent that starts over are accepted rather than treated as late pages:
+/// longer than the time over which pages that were sent together arrive, and less than their resend timeout.
 const RESTART_DELAY: Duration = Duration::millis(200);
 
-/// What has come so far.
+/// The content received so far.
 #[derive(Debug)]
 enum Content {
-    /// Each record's last change and its sequence.
+    /// The last change of each record, with its sequence.
     Changes(BTreeMap<(Topic, Key), (u64, Option<Value>)>),
     /// All records.
-    Whole(Box<Log>),
+    Snapshot(Box<Log>),
 }
 
-/// See the module's page.
+/// A version that is being received.
 #[derive(Debug)]
 pub struct Stage {
     content: Content,
     start: u64,
-    /// The sequence of the earliest version of which a page was applied.
+    /// The lowest version sequence among the pages that were applied.
     begun: u64,
     position: u64,
-    /// Of the last page that moved it.
+    /// The parent's version in the last page that was applied.
     head: Version,
     since: u64,
     digest: u64,
-    moved: Timestamp,
-    /// Nothing has come of the present parent yet.
+    progressed_at: Timestamp,
+    /// No page of the current parent was applied yet.
     new_parent: bool,
-    /// Which record has a sequence.
-    numbers: BTreeMap<u64, (Topic, Key)>,
-    /// Two records had one sequence: pages of two histories have met.
-    mixed: bool,
+    /// The record that each sequence belongs to.
+    keys_by_sequence: BTreeMap<u64, (Topic, Key)>,
+    /// Two records had the same sequence, so pages of two histories were mixed.
+    mixed_histories: bool,
 }
 
-/// A stage that is whole, as it would come into force.
+/// A version that was received completely and can be installed.
 #[derive(Debug)]
-pub struct Verdict {
+pub struct CompleteVersion {
     /// The version.
     pub head: Version,
-    /// What differs from what is in force.
+    /// The changes relative to the installed version.
     pub changes: Vec<Change>,
-    /// Whether the digest is the parent's.
-    pub matches: bool,
+    /// Whether the digest is the parent's and no pages of different histories were mixed.
+    pub is_consistent: bool,
 }
 
-/// What stages and too early pages there are.
+/// The stage in progress, and the pages that arrived before their turn.
 #[derive(Debug, Default)]
 pub struct Staging {
     stage: Option<Stage>,
-    /// Pages that came too early, by whether they are of a snapshot and by where they follow.
+    /// Pages that arrived early, by whether they belong to a snapshot and by the sequence that they follow.
     early: BTreeMap<(bool, u64), Page>,
 }
 
 impl Stage {
     fn new(now: Timestamp, start: u64) -> Stage {
         let content =
-            if start == 0 { Content::Whole(Box::default()) } else { Content::Changes(BTreeMap::new()) };
+            if start == 0 { Content::Snapshot(Box::default()) } else { Content::Changes(BTreeMap::new()) };
         Stage {
             content,
             start,
@@ -76,10 +77,10 @@
             head: Version::default(),
             since: 0,
             digest: 0,
-            moved: now,
+            progressed_at: now,
             new_parent: false,
-            numbers: BTreeMap::new(),
-            mixed: false,
+            keys_by_sequence: BTreeMap::new(),
+            mixed_histories: false,
         }
     }
 
@@ -87,17 +88,17 @@
         self.start == 0
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.head.sequence > 0 && self.position == self.head.sequence
     }
 
-    /// Pages may overlap: of a record's changes the one with the highest sequence counts.
+    /// Applies a page. Pages may overlap: the change of a record with the highest sequence wins.
     fn apply(&mut self, now: Timestamp, page: Page) {
         let sequences = page.sequences().unwrap_or_default();
         for (sequence, change) in sequences.into_iter().zip(page.changes) {
-            self.number(sequence, &change);
+            self.note_sequence(sequence, &change);
             match &mut self.content {
-                Content::Whole(log) => log.put(sequence, change),
+                Content::Snapshot(log) => log.apply_if_newer(sequence, change),
                 Content::Changes(changes) => {
                     let slot = changes.entry((change.topic, change.key)).or_default();
                     if slot.0 <= sequence {
@@ -112,133 +113,137 @@
         self.head = page.head;
         self.since = page.since;
         self.digest = page.digest;
-        self.moved = now;
+        self.progressed_at = now;
     }
 
-    /// Takes note of a change's sequence. Within one history no two changes share one.
-    fn number(&mut self, sequence: u64, change: &Change) {
+    /// Records which record a sequence belongs to. Within one history, no two records share a sequence.
+    fn note_sequence(&mut self, sequence: u64, change: &Change) {
         let other = |(topic, key): &(Topic, Key)| (*topic, key) != (change.topic, &change.key);
-        self.mixed |= self.numbers.get(&sequence).is_some_and(other);
-        self.numbers.insert(sequence, (change.topic, change.key.clone()));
+        self.mixed_histories |= self.keys_by_sequence.get(&sequence).is_some_and(other);
+        self.keys_by_sequence.insert(sequence, (change.topic, change.key.clone()));
     }
 
-    fn verdict(&self, log: &Log) -> Verdict {
+    fn complete_version(&self, log: &Log) -> CompleteVersion {
         let (changes, digest) =
             match &self.content {
-                Content::Whole(new) => (log.difference(new), new.digest()),
+                Content::Snapshot(new) => (log.difference(new), new.digest()),
                 Content::Changes(changes) => {
                     let change = |((topic, key), (_, value)): (&(Topic, Key), &(u64, Option<Value>))| {
                         Change { topic: *topic, key: key.clone(), value: value.clone() }
                     };
-                    log.net(changes.iter().map(change))
+                    log.net_changes(changes.iter().map(change))
                 }
             };
-        Verdict { head: self.head, changes, matches: digest == self.digest && !self.mixed }
+        CompleteVersion {
+            head: self.head,
+            changes,
+            is_consistent: digest == self.digest && !self.mixed_histories,
+        }
     }
 
     fn install(self, log: &mut Log) {
         match self.content {
-            Content::Whole(mut new) => {
-                new.finish(self.head, self.since);
+            Content::Snapshot(mut new) => {
+                new.finish_snapshot(self.head, self.since);
                 *log = *new;
             }
             Content::Changes(changes) => {
-                let numbered = |((topic, key), (sequence, value))| (sequence, Change { topic, key, value });
-                log.install(self.head, self.since, changes.into_iter().map(numbered));
+                let sequenced = |((topic, key), (sequence, value))| (sequence, Change { topic, key, value });
+                log.install(self.head, self.since, changes.into_iter().map(sequenced));
             }
         }
     }
 }
 
 impl Staging {
-    /// How far the catch-up under way has come.
-    pub fn reached(&self) -> Option<Progress> {
-        let moved = self.stage.as_ref().filter(|stage| stage.position > stage.start);
-        moved.map(|stage| Progress { start: stage.start, begun: stage.begun, upto: stage.position })
+    /// The progress of the catch-up; `None` before its first page.
+    pub fn progress(&self) -> Option<Progress> {
+        let progressed = self.stage.as_ref().filter(|stage| stage.position > stage.start);
+        progressed.map(|stage| Progress { start: stage.start, begun: stage.begun, upto: stage.position })
     }
 
-    /// Whether a snapshot is under way.
+    /// Whether a snapshot is being received.
     pub fn is_snapshot(&self) -> bool {
         self.stage.as_ref().is_some_and(Stage::is_snapshot)
     }
 
-    /// Drops all.
+    /// Discards the stage and all early pages.
     pub fn clear(&mut self) {
         *self = Staging::default();
     }
 
-    /// Another parent goes on with it: it may begin anew at once.
+    /// Continues the stage with another parent, which may start over at once.
     pub fn change_parent(&mut self, now: Timestamp) {
         self.early.clear();
         if let Some(stage) = &mut self.stage {
-            stage.moved = now;
+            stage.progressed_at = now;
             stage.new_parent = true;
         }
     }
 
-    /// Takes in a page of a version later than that in force; how many pages the stage moved on by, with those that came
-    /// too early.
-    pub fn take(&mut self, now: Timestamp, own: u64, page: Page) -> u32 {
-        self.choose(now, own, &page);
+    /// Adds a page of a version later than the installed one. Returns the number of pages that were applied, including
+    /// buffered early pages.
+    pub fn add_page(&mut self, now: Timestamp, own_sequence: u64, page: Page) -> u32 {
+        self.select_stage(now, own_sequence, &page);
         let Some(stage) = &mut self.stage else { return 0 };
         let snapshot = page.start == 0;
         if page.head < stage.head {
             return 0;
         }
         if snapshot != stage.is_snapshot() || page.after > stage.position {
-            self.keep_early(snapshot, page);
+            self.buffer_early(snapshot, page);
             return 0;
         }
-        let ends = page.upto == page.head.sequence && !stage.is_whole();
-        if page.upto < stage.position || page.upto == stage.position && !ends {
+        let completes = page.upto == page.head.sequence && !stage.is_complete();
+        if page.upto < stage.position || page.upto == stage.position && !completes {
             return 0;
         }
         stage.apply(now, page);
-        1 + self.take_early(now)
+        1 + self.apply_early(now)
     }
 
-    /// Decides which stage a page belongs to; it begins a new one where there is none, or where the parent has begun anew.
-    fn choose(&mut self, now: Timestamp, own: u64, page: &Page) {
+    /// Selects the stage that a page belongs to. Starts a new one if there is none, or if the parent has started over.
+    fn select_stage(&mut self, now: Timestamp, own_sequence: u64, page: &Page) {
         let snapshot = page.start == 0;
-        // Changes on top of nothing are none.
-        if !snapshot && own == 0 {
+        // Changes cannot extend an empty log; a snapshot must come first.
+        if !snapshot && own_sequence == 0 {
             return;
         }
-        let start = if snapshot { 0 } else { own };
-        let anew = match &self.stage {
+        let start = if snapshot { 0 } else { own_sequence };
+        let restart = match &self.stage {
             None => true,
             Some(stage) => {
-                let still = now - stage.moved >= RESTART_DELAY;
-                // A version that is earlier than one of which a page was applied can't be come to any more.
+                let stalled = now - stage.progressed_at >= RESTART_DELAY;
+                // The stage cannot return to a version earlier than one of which a page was applied.
                 if page.head < stage.head {
-                    still
+                    stalled
                 } else {
-                    let still = still || stage.new_parent;
+                    let stalled = stalled || stage.new_parent;
                     match (stage.is_snapshot(), snapshot) {
                         (false, true) => true,
-                        (true, false) => still && page.after <= own,
-                        _ => still && page.after <= start && page.upto < stage.position,
+                        (true, false) => stalled && page.after <= own_sequence,
+                        _ => stalled && page.after <= start && page.upto < stage.position,
                     }
                 }
             }
         };
-        if anew {
+        if restart {
             self.stage = Some(Stage::new(now, start));
         }
     }
 
-    fn keep_early(&mut self, snapshot: bool, page: Page) {
+    fn buffer_early(&mut self, snapshot: bool, page: Page) {
         self.early.insert((snapshot, page.after), page);
-        if self.early.len() > WINDOW {
+        if self.early.len() > WINDOW_PAGES {
             self.early.pop_last();
         }
     }
 
-    /// Applies what came too early and now follows, until the stage is whole: then it is judged first.
-    fn take_early(&mut self, now: Timestamp) -> u32 {
+    /// Applies buffered pages that follow now, up to the point where the stage is complete and has to be verified.
+    fn apply_early(&mut self, now: Timestamp) -> u32 {
         let mut applied = 0;
         let Some(stage) = &mut self.stage else { return 0 };
-        while !stage.is_whole() {
+        while !stage.is_complete() {
             let snapshot = stage.is_snapshot();
             let following = self.early.range((snapshot, 0)..=(snapshot, stage.position)).next_back();
             let Some(key) = following.map(|(key, _)| *key) else { break };
@@ -251,17 +256,17 @@
         applied
     }
 
-    /// What the stage would bring into force, if it is whole.
-    pub fn verdict(&self, log: &Log) -> Option<Verdict> {
-        self.stage.as_ref().filter(|stage| stage.is_whole()).map(|stage| stage.verdict(log))
+    /// The received version, once it is complete.
+    pub fn complete_version(&self, log: &Log) -> Option<CompleteVersion> {
+        self.stage.as_ref().filter(|stage| stage.is_complete()).map(|stage| stage.complete_version(log))
     }
 
-    /// Brings the stage into force; a page that came too early for it, and follows now.
+    /// Installs the stage. Returns the buffered early page that follows the installed version, if any.
     pub fn install(&mut self, log: &mut Log) -> Option<Page> {
         self.stage.take()?.install(log);
-        let now = log.version().sequence;
-        self.early.retain(|(snapshot, _), page| !snapshot && page.upto > now);
-        let key = *self.early.range(..=(false, now)).next_back()?.0;
+        let installed = log.version().sequence;
+        self.early.retain(|(snapshot, _), page| !snapshot && page.upto > installed);
+        let key = *self.early.range(..=(false, installed)).next_back()?.0;
         self.early.remove(&key)
     }
 }
--- a/src/fleet/distribution/status.rs
+++ b/src/fleet/distribution/status.rs
@@ -1,4 +1,4 @@
-//! The state of one process of the domain as operators see it: a text, and figures.
+//! The status of one process of the domain for operators, as text and as figures.
 
 use super::interface::Role;
 use super::record::Version;
@@ -15,17 +15,17 @@
     pub snapshots: u64,
     /// Versions that were refused.
     pub refused: u64,
-    /// Complete versions whose digest differed from the parent's.
+    /// Complete versions whose digest differed from the parent's, or that mixed pages of different histories.
     pub mismatches: u64,
-    /// Messages that were invalid, or that their sender may not send.
+    /// Messages that were invalid, or that their sender is not allowed to send.
     pub odd: u64,
     /// Parents that were left.
     pub parents_left: u64,
     /// Pages sent to children.
     pub pages: u64,
-    /// Times that pages were sent to a child again.
+    /// Number of times that pages were sent to a child again.
     pub resent: u64,
-    /// Snapshots begun for children.
+    /// Snapshots started for children.
     pub snapshots_served: u64,
     /// Reports of children that were ahead of this process.
     pub ahead: u64,
@@ -44,7 +44,7 @@
     pub why: String,
 }
 
-/// The state of one process of the domain, as operators see it.
+/// The status of one process of the domain.
 #[derive(Clone, Debug)]
 pub struct DistributionStatus {
     /// The role of the process.
@@ -53,15 +53,15 @@
     pub version: Version,
     /// Number of records.
     pub records: usize,
-    /// The parent that it follows.
+    /// The parent that is followed.
     pub parent: Option<SocketAddr>,
-    /// Time since it was last known to be up to date; `None` if it never was.
+    /// Time since the process was last known to be up to date; `None` if it never was.
     pub age: Option<Duration>,
-    /// Children that it serves.
+    /// Number of children.
     pub children: usize,
-    /// Those of them that are not up to date.
+    /// Number of children that are not known to be up to date.
     pub behind: usize,
-    /// The fence under which it publishes, while it does.
+    /// The fence under which the process publishes, while it is the publisher.
     pub publisher: Option<u64>,
     /// The last version that was refused, if none was installed since.
     pub refused: Option<RefusedVersion>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The status as figures, a line each. An unknown age is -1.
+    /// The status as figures, one per line. An unknown age is -1.
     pub fn figures(&self) -> String {
         let age = self.age.map_or(-1, |age| i64::try_from(age.0 / 1_000_000).unwrap_or(i64::MAX));
         let counters = &self.counters;
--- a/src/fleet/distribution/tests/digest_forms.rs
+++ b/src/fleet/distribution/tests/digest_forms.rs
@@ -7,7 +7,7 @@
 fn log() -> Log {
     let mut log = Log::default();
     log.commit(3, [worker(1, 0, 1_000), worker(2, 1, 500), worker(3, 1, 500), class("chat", "{}")]);
-    log.commit(4, [worker(2, 1, 700), gone(3, 1), gone(1, 0), worker(1, 2, 1_000), complete()]);
+    log.commit(4, [worker(2, 1, 700), removal(3, 1), removal(1, 0), worker(1, 2, 1_000), completion()]);
     log
 }
 
@@ -17,9 +17,9 @@
     assert_eq!(log.version(), Version { fence: 4, sequence: 9 });
     let cases = [
         ("all", Interest::All, 0xaf98_4d72_e967_18f7),
-        ("a zone", zones(&[1]), 0x28bf_37e8_ad95_507c),
-        ("a zone without workers", zones(&[0]), 0xe65a_4b7f_e860_094e),
-        ("settings alone", zones(&[]), 0xe65a_4b7f_e860_094e),
+        ("a zone", zone_interest(&[1]), 0x28bf_37e8_ad95_507c),
+        ("a zone without workers", zone_interest(&[0]), 0xe65a_4b7f_e860_094e),
+        ("settings alone", zone_interest(&[]), 0xe65a_4b7f_e860_094e),
     ];
     for (name, interest, digest) in cases {
         assert_eq!(log.digest_of(&interest), digest, "{name}: {:#x}", log.digest_of(&interest));
@@ -31,8 +31,14 @@
 #[test]
 fn parts_of_a_log_stay_the_same() {
     let part = log().part(&Interest::All, 0, 0);
-    let changes =
-        [class("chat", "{}"), worker(2, 1, 700), gone(3, 1), gone(1, 0), worker(1, 2, 1_000), complete()];
+    let changes = [
+        class("chat", "{}"),
+        worker(2, 1, 700),
+        removal(3, 1),
+        removal(1, 0),
+        worker(1, 2, 1_000),
+        completion(),
+    ];
     assert_eq!(part.changes, changes);
     assert_eq!((part.upto, part.steps, part.bytes), (9, vec![4, 1, 1, 1, 1, 1], 68));
 }
--- a/src/fleet/distribution/tests/log.rs
+++ b/src/fleet/distribution/tests/log.rs
@@ -44,7 +44,7 @@
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
         6 => (0u64..30, 0u8..4, 0u32..5).prop_map(|(id, zone, weight)| worker(id, zone, weight)),
-        3 => (0u64..30, 0u8..4).prop_map(|(id, zone)| gone(id, zone)),
+        3 => (0u64..30, 0u8..4).prop_map(|(id, zone)| removal(id, zone)),
         2 => (0u8..4, 0usize..900).prop_map(|(name, size)| class(&name.to_string(), &"x".repeat(size))),
         1 => (0u8..4).prop_map(|name| Change { value: None, ..class(&name.to_string(), "") }),
     ]
@@ -53,7 +53,8 @@
 fn interest() -> impl Strategy<Value = Interest> {
     prop_oneof![
         Just(Interest::All),
-        prop::collection::btree_set(0u8..5, 0..4).prop_map(|of| zones(&of.into_iter().collect::<Vec<_>>())),
+        prop::collection::btree_set(0u8..5, 0..4)
+            .prop_map(|of| zone_interest(&of.into_iter().collect::<Vec<_>>())),
     ]
 }
 
@@ -81,9 +82,9 @@
         for (version, before) in versions {
             let before = covered(&before, &interest);
             prop_assert_eq!(&follow(&log, &interest, version.sequence, 0, before), &wanted);
-            prop_assert_eq!(log.went_through(version), version.sequence > 0);
+            prop_assert_eq!(log.contains_version(version), version.sequence > 0);
             let other = Version { fence: version.fence + 50, ..version };
-            prop_assert!(!log.went_through(other));
+            prop_assert!(!log.contains_version(other));
         }
         // A snapshot needs no removals.
         let head = log.version().sequence;
@@ -114,7 +115,7 @@
                     Some(*at)
                 });
                 let head = Version { sequence: part.upto, ..log.version() };
-                relay.install(head, log.since(), numbers.zip(part.changes));
+                relay.install(head, log.epoch_start(), numbers.zip(part.changes));
                 at = part.upto;
             }
             prop_assert_eq!(relay.digest(), log.digest());
@@ -124,12 +125,12 @@
         let wanted = covered(&last, &interest);
         for (version, before) in versions {
             let before = covered(&before, &interest);
-            prop_assert!(relay.went_through(version));
+            prop_assert!(relay.contains_version(version));
             prop_assert_eq!(&follow(&relay, &interest, version.sequence, 0, before), &wanted);
         }
     }
 
-    /// What a batch comes to in the end, and the digest it leaves, are told before it is applied.
+    /// What a batch comes to in the end, and the digest it leaves, are replayed before it is applied.
     #[test]
     fn the_net_of_changes_is_what_differs(
         first in prop::collection::vec(change(), 0..30),
@@ -137,7 +138,7 @@
     ) {
         let mut log = Log::default();
         log.commit(1, first);
-        let (changes, digest) = log.net(then.clone());
+        let (changes, digest) = log.net_changes(then.clone());
         let mut after = log.clone();
         after.commit(2, then);
         prop_assert_eq!(after.digest(), digest);
@@ -172,14 +173,14 @@
     let many = MAX_TOMBSTONES as u64 + 100;
     log.commit(1, (0..many).map(|id| worker(id, 0, 1)));
     log.commit(1, [worker(0, 1, 1)]);
-    log.commit(1, (0..many).map(|id| gone(id, 0)));
+    log.commit(1, (0..many).map(|id| removal(id, 0)));
     assert_eq!(log.len(), 1);
-    assert_eq!(log.floor(&zones(&[0])), many + 1 + 100, "the first hundred are forgotten");
-    assert_eq!(log.floor(&zones(&[1])), 0, "other topics remember all of theirs");
+    assert_eq!(log.floor(&zone_interest(&[0])), many + 1 + 100, "the first hundred are forgotten");
+    assert_eq!(log.floor(&zone_interest(&[1])), 0, "other topics remember all of theirs");
     assert_eq!(log.floor(&Interest::All), many + 1 + 100);
-    let part = log.part(&zones(&[0]), 0, log.version().sequence);
+    let part = log.part(&zone_interest(&[0]), 0, log.version().sequence);
     assert_eq!((part.changes.len(), part.upto), (0, log.version().sequence), "nothing stands");
-    assert_eq!(log.part(&zones(&[0]), many + 101, 0).changes[0], gone(100, 0));
+    assert_eq!(log.part(&zone_interest(&[0]), many + 101, 0).changes[0], removal(100, 0));
 }
 
 #[test]
@@ -188,9 +189,9 @@
     for fence in 1..=100 {
         log.commit(fence, [worker(fence, 0, 1)]);
     }
-    assert!(!log.went_through(Version { fence: 1, sequence: 1 }));
-    assert!(log.went_through(Version { fence: 50, sequence: 50 }));
-    assert!(!log.went_through(Version { fence: 50, sequence: 51 }));
-    assert!(!log.went_through(Version { fence: 100, sequence: 101 }), "not come to yet");
-    assert_eq!(log.since(), 100);
+    assert!(!log.contains_version(Version { fence: 1, sequence: 1 }));
+    assert!(log.contains_version(Version { fence: 50, sequence: 50 }));
+    assert!(!log.contains_version(Version { fence: 50, sequence: 51 }));
+    assert!(!log.contains_version(Version { fence: 100, sequence: 101 }), "not come to yet");
+    assert_eq!(log.epoch_start(), 100);
 }
--- a/src/fleet/distribution/tests/mod.rs
+++ b/src/fleet/distribution/tests/mod.rs
@@ -17,10 +17,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-const FLEET: u64 = 7;
-const RATE: u64 = 2_000_000;
+const FLEET_ID: u64 = 7;
+const CATCH_UP_BYTES_PER_SECOND: u64 = 2_000_000;
 
-fn place(n: usize) -> SocketAddr {
+fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, (n / 250) as u8, (n % 250) as u8 + 1], 9_300))
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-fn gone(id: u64, zone: u8) -> Change {
+fn removal(id: u64, zone: u8) -> Change {
     Change { value: None, ..worker(id, zone, 0) }
 }
 
@@ -53,18 +53,18 @@
     }
 }
 
-fn complete() -> Change {
+fn completion() -> Change {
     Change { topic: Topic::SETTINGS, key: Key::Complete, value: Some(Value::Complete) }
 }
 
-fn zones(zones: &[u8]) -> Interest {
+fn zone_interest(zones: &[u8]) -> Interest {
     Interest::Topics(zones.iter().map(|zone| Topic::workers_of(ZoneId(*zone))).collect())
 }
 
-/// Refuses whatever has a class with these settings.
-struct Refuses(&'static str);
+/// RejectsClass whatever has a class with these settings.
+struct RejectsClass(&'static str);
 
-impl ChangeCheck for Refuses {
+impl ChangeCheck for RejectsClass {
     fn check(&self, changes: &[Change]) -> Result<(), String> {
         let bad = changes.iter().any(|change| change.value == Some(Value::Class(self.0.into())));
         if bad { Err(format!("{} is not allowed", self.0)) } else { Ok(()) }
@@ -76,7 +76,7 @@
     node: DistributionNode,
     number: u32,
     /// What came of it, without messages.
-    seen: Vec<(Timestamp, DistributionOutput)>,
+    outputs: Vec<(Timestamp, DistributionOutput)>,
 }
 
 impl Host {
@@ -87,11 +87,11 @@
         for output in self.node.handle(now, event) {
             match output {
                 DistributionOutput::Send(to, message) => {
-                    let bytes = datagram(FLEET, process, &[message]);
+                    let bytes = datagram(FLEET_ID, process, &[message]);
                     assert!(bytes.len() <= crate::fleet::message::LARGEST, "{}", bytes.len());
                     sent.push((to, bytes));
                 }
-                other => self.seen.push((now, other)),
+                other => self.outputs.push((now, other)),
             }
         }
         sent
@@ -104,7 +104,7 @@
     }
 
     fn datagram(&mut self, now: lab::network::Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
-        let Ok((_, messages)) = read(FLEET, bytes) else { return vec![] };
+        let Ok((_, messages)) = read(FLEET_ID, bytes) else { return vec![] };
         self.handle(now, DistributionInput::Received { from, messages: &messages })
     }
 
@@ -127,15 +127,15 @@
 
 impl Domain {
     fn new(seed: u64, replicas: usize, relays: usize, subscribers: Vec<Interest>) -> Domain {
-        Domain::paced(seed, replicas, relays, subscribers, RATE)
+        Domain::with_rate(seed, replicas, relays, subscribers, CATCH_UP_BYTES_PER_SECOND)
     }
 
     /// One whose parents serve catch-ups with so many bytes a second.
-    fn paced(seed: u64, replicas: usize, relays: usize, subscribers: Vec<Interest>, rate: u64) -> Domain {
-        let replicas: Vec<SocketAddr> = (0..replicas).map(place).collect();
-        let relays: Vec<SocketAddr> = (0..relays).map(|n| place(10 + n)).collect();
+    fn with_rate(seed: u64, replicas: usize, relays: usize, subscribers: Vec<Interest>, rate: u64) -> Domain {
+        let replicas: Vec<SocketAddr> = (0..replicas).map(address).collect();
+        let relays: Vec<SocketAddr> = (0..relays).map(|n| address(10 + n)).collect();
         let interests: BTreeMap<SocketAddr, Interest> =
-            subscribers.into_iter().enumerate().map(|(n, interest)| (place(20 + n), interest)).collect();
+            subscribers.into_iter().enumerate().map(|(n, interest)| (address(20 + n), interest)).collect();
         let subscribers = interests.keys().copied().collect();
         let net = Network::new(seed, Link::default());
         let mut domain = Domain { net, replicas, relays, subscribers, interests, fence: 0, ticket: 0, rate };
@@ -170,16 +170,16 @@
 
     /// Starts a process that knows nothing.
     fn start(&mut self, at: SocketAddr) {
-        self.start_with(at, Box::new(Refuses("bad")));
+        self.start_with(at, Box::new(RejectsClass("bad")));
     }
 
     fn start_with(&mut self, at: SocketAddr, check: Box<dyn ChangeCheck>) {
         let node = DistributionNode::new(Timestamp(self.net.now().0), self.config(at), check);
         let number = self.all().iter().position(|other| *other == at).unwrap() as u32;
-        self.net.start(at, Host { node, number, seen: vec![] });
+        self.net.start(at, Host { node, number, outputs: vec![] });
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn run_ms(&mut self, ms: u64) {
         let end = self.net.now() + lab::network::Duration::millis(ms);
         self.net.run_until(end);
     }
@@ -222,7 +222,7 @@
 
     /// What came of a ticket.
     fn outcome(&self, at: SocketAddr, ticket: u64) -> Option<Result<Version, PublishError>> {
-        self.host(at).seen.iter().find_map(|(_, output)| match output {
+        self.host(at).outputs.iter().find_map(|(_, output)| match output {
             DistributionOutput::Published { ticket: of, version } if *of == ticket => Some(Ok(*version)),
             DistributionOutput::NotPublished { ticket: of, why } if *of == ticket => Some(Err(why.clone())),
             _ => None,
@@ -230,7 +230,7 @@
     }
 
     /// All that run have the publisher's version, and just its records of their interest.
-    fn assert_same(&self, publisher: SocketAddr) {
+    fn assert_converged(&self, publisher: SocketAddr) {
         let version = self.version(publisher);
         for at in self.all().into_iter().filter(|at| self.net.process(*at).is_some()) {
             assert_eq!(self.version(at), version, "{at}: {}", self.status(at));
@@ -247,18 +247,18 @@
         }
     }
 
-    /// What was told as installed, one after another, comes to what is in force.
-    fn assert_told(&self, at: SocketAddr) {
-        let mut told: BTreeMap<Key, Value> = BTreeMap::new();
-        for (_, output) in &self.host(at).seen {
+    /// What was replayed as installed, one after another, comes to what is in force.
+    fn assert_outputs_match_records(&self, at: SocketAddr) {
+        let mut replayed: BTreeMap<Key, Value> = BTreeMap::new();
+        for (_, output) in &self.host(at).outputs {
             let DistributionOutput::Installed { changes, .. } = output else { continue };
             for change in changes {
                 match &change.value {
-                    Some(value) => drop(told.insert(change.key.clone(), value.clone())),
-                    None => drop(told.remove(&change.key)),
+                    Some(value) => drop(replayed.insert(change.key.clone(), value.clone())),
+                    None => drop(replayed.remove(&change.key)),
                 }
             }
         }
-        assert_eq!(told, self.records(at), "{at}");
+        assert_eq!(replayed, self.records(at), "{at}");
     }
 }
--- a/src/fleet/distribution/tests/parents.rs
+++ b/src/fleet/distribution/tests/parents.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-const SECOND: u64 = 1_000;
+const SECOND_MS: u64 = 1_000;
 
 fn domain(subscribers: usize, workers: u64, rate: u64) -> Domain {
-    let mut domain = Domain::paced(5, 3, 2, vec![zones(&[0]); subscribers], rate);
+    let mut domain = Domain::with_rate(5, 3, 2, vec![zone_interest(&[0]); subscribers], rate);
     let publisher = domain.replicas[0];
-    domain.elect(publisher, 10_000 * SECOND);
-    domain.pass(100);
-    domain.publish(publisher, (0..workers).map(|id| worker(id, 0, 1)).chain([complete()]).collect());
+    domain.elect(publisher, 10_000 * SECOND_MS);
+    domain.run_ms(100);
+    domain.publish(publisher, (0..workers).map(|id| worker(id, 0, 1)).chain([completion()]).collect());
     for _ in 0..60 {
-        domain.pass(SECOND);
+        domain.run_ms(SECOND_MS);
         if domain.all().iter().all(|at| domain.version(*at) == domain.version(publisher)) {
             return domain;
         }
@@ -25,28 +25,28 @@
 
 #[test]
 fn children_spread_over_parents_and_come_back_to_one_that_was_away() {
-    let mut domain = domain(60, 20, RATE);
+    let mut domain = domain(60, 20, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
-    domain.pass(200 * SECOND);
+    domain.run_ms(200 * SECOND_MS);
     let [one, other] = domain.relays[..] else { panic!() };
     let before = children_of(&domain, one);
     assert!((15..=45).contains(&before), "{before} of 60");
     domain.net.kill(one);
-    domain.pass(3 * SECOND);
+    domain.run_ms(3 * SECOND_MS);
     assert_eq!(children_of(&domain, other), 60);
     domain.start(one);
-    domain.pass(200 * SECOND);
+    domain.run_ms(200 * SECOND_MS);
     assert_eq!(children_of(&domain, one), before, "each has its own first parent");
     let status = domain.status(one);
     assert_eq!((status.children, status.behind), (before, 0), "{status}");
-    domain.assert_same(publisher);
+    domain.assert_converged(publisher);
     let snapshots: u64 = domain.subscribers.iter().map(|at| domain.status(*at).counters.snapshots).sum();
     assert_eq!(snapshots, 60, "none fetched anything whole for it");
 }
 
 #[test]
 fn a_parent_that_lives_but_hears_nothing_itself_is_left_for_one_that_does() {
-    let mut domain = domain(20, 20, RATE);
+    let mut domain = domain(20, 20, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
     let (stale, replicas) = (domain.relays[0], domain.replicas.clone());
     let cut = Link { cut: true, ..Link::default() };
@@ -55,7 +55,7 @@
         (between(from, to) || between(to, from)).then_some(cut)
     });
     domain.publish(publisher, vec![worker(0, 0, 2)]);
-    domain.pass(20 * SECOND);
+    domain.run_ms(20 * SECOND_MS);
     assert!(domain.status(stale).age.unwrap() > Duration::millis(19_000));
     for at in domain.subscribers.clone() {
         assert_eq!(domain.version(at), domain.version(publisher), "{at}");
@@ -69,10 +69,10 @@
     let rate = 100_000;
     let mut domain = domain(40, 1_000, rate);
     let publisher = domain.replicas[0];
-    domain.pass(10 * SECOND);
+    domain.run_ms(10 * SECOND_MS);
     // Only one relay is left, and all but two of its children know nothing.
     domain.net.kill(domain.relays[1]);
-    domain.pass(5 * SECOND);
+    domain.run_ms(5 * SECOND_MS);
     let (relay, fresh) = (domain.relays[0], domain.subscribers[2..].to_vec());
     fresh.iter().for_each(|at| domain.start(*at));
     let start = domain.net.now();
@@ -80,11 +80,11 @@
     let (before, mut seconds) = (sent(&domain), 0);
     while fresh.iter().any(|at| domain.version(*at) != domain.version(publisher)) {
         domain.publish(publisher, vec![worker(seconds, 0, 7)]);
-        domain.pass(50);
+        domain.run_ms(50);
         for at in &domain.subscribers[..2] {
             assert_eq!(domain.version(*at), domain.version(publisher), "at once, while others catch up");
         }
-        domain.pass(SECOND - 50);
+        domain.run_ms(SECOND_MS - 50);
         seconds += 1;
         assert!(seconds < 60);
     }
@@ -92,8 +92,8 @@
     let bytes = (sent(&domain) - before) as f64;
     // Heads of pages, answers to reports and live changes come on top of what is paced.
     assert!(seconds > 5 && bytes < took * rate as f64 * 1.3 + 20_000.0, "{bytes} bytes in {took} s");
-    domain.pass(2 * SECOND);
-    domain.assert_same(publisher);
+    domain.run_ms(2 * SECOND_MS);
+    domain.assert_converged(publisher);
 }
 
 #[test]
@@ -102,45 +102,45 @@
     let publisher = domain.replicas[0];
     let slow = domain.subscribers[0];
     domain.start(slow);
-    domain.pass(50);
+    domain.run_ms(50);
     assert_eq!(domain.version(slow), Version::default(), "in the middle of its snapshot");
     domain.net.stop(slow, true);
     for round in 0..10 {
         domain.publish(publisher, vec![worker(round, 0, 7)]);
-        domain.pass(20);
+        domain.run_ms(20);
         for at in &domain.subscribers[1..] {
             assert_eq!(domain.version(*at), domain.version(publisher), "{at}");
         }
-        domain.pass(SECOND);
+        domain.run_ms(SECOND_MS);
     }
     let children: usize = domain.relays.iter().map(|at| domain.status(*at).children).sum();
     assert_eq!(children, 29, "it is forgotten");
     domain.net.stop(slow, false);
-    domain.pass(5 * SECOND);
-    domain.assert_same(publisher);
-    domain.assert_told(slow);
+    domain.run_ms(5 * SECOND_MS);
+    domain.assert_converged(publisher);
+    domain.assert_outputs_match_records(slow);
 }
 
 #[test]
 fn a_region_that_was_cut_off_for_an_hour_takes_what_has_changed_and_no_more() {
-    let mut domain = domain(6, 500, RATE);
+    let mut domain = domain(6, 500, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
     let far = domain.subscribers[..3].to_vec();
     let cut = Link { cut: true, ..Link::default() };
     let region = far.clone();
     domain.net.set_links(move |from, to| (region.contains(&from) != region.contains(&to)).then_some(cut));
     for id in 0..600 {
-        domain.publish(publisher, vec![if id % 3 == 0 { gone(id, 0) } else { worker(id, 0, 9) }]);
-        domain.pass(6 * SECOND);
+        domain.publish(publisher, vec![if id % 3 == 0 { removal(id, 0) } else { worker(id, 0, 9) }]);
+        domain.run_ms(6 * SECOND_MS);
     }
     let age = domain.status(far[0]).age.unwrap();
     assert!(age > Duration::millis(3_590_000), "{}", domain.status(far[0]));
     domain.net.set_links(|_, _| None);
-    domain.pass(10 * SECOND);
-    domain.assert_same(publisher);
+    domain.run_ms(10 * SECOND_MS);
+    domain.assert_converged(publisher);
     for at in far {
         assert_eq!(domain.status(at).counters.snapshots, 1, "the first one");
-        domain.assert_told(at);
+        domain.assert_outputs_match_records(at);
     }
 }
 
@@ -151,12 +151,12 @@
     let mut domain = domain(1, 20_000, rate);
     let (publisher, at) = (domain.replicas[0], domain.subscribers[0]);
     let relay = domain.status(at).parent.expect("it has one");
-    domain.pass(5 * SECOND);
+    domain.run_ms(5 * SECOND_MS);
     let before = domain.status(relay).counters;
     domain.start(at);
     let start = domain.net.now();
     while domain.version(at) != domain.version(publisher) {
-        domain.pass(10);
+        domain.run_ms(10);
         assert!((domain.net.now() - start).secs() < 30.0);
     }
     let took = (domain.net.now() - start).secs();
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_child_does_not_go_back_with_a_parent_that_is_behind_it() {
-    let mut domain = domain(10, 20, RATE);
+    let mut domain = domain(10, 20, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
     let [ahead, behind] = domain.relays[..] else { panic!() };
     let (cut, replicas) = (Link { cut: true, ..Link::default() }, domain.replicas.clone());
@@ -177,10 +177,10 @@
         let between = |a, b| a == behind && replicas.contains(&b);
         (between(from, to) || between(to, from)).then_some(cut)
     });
-    domain.publish(publisher, vec![worker(0, 0, 2), gone(1, 0)]);
-    domain.pass(20 * SECOND);
+    domain.publish(publisher, vec![worker(0, 0, 2), removal(1, 0)]);
+    domain.run_ms(20 * SECOND_MS);
     domain.net.kill(ahead);
-    domain.pass(30 * SECOND);
+    domain.run_ms(30 * SECOND_MS);
     assert!(domain.version(behind) < domain.version(publisher));
     for at in domain.subscribers.clone() {
         assert_eq!(domain.version(at), domain.version(publisher), "{at}");
@@ -189,10 +189,10 @@
     }
     assert!(domain.status(behind).counters.ahead > 0);
     domain.net.set_links(|_, _| None);
-    domain.pass(10 * SECOND);
-    domain.assert_same(publisher);
+    domain.run_ms(10 * SECOND_MS);
+    domain.assert_converged(publisher);
     for at in domain.subscribers.clone() {
-        domain.assert_told(at);
+        domain.assert_outputs_match_records(at);
         assert!(domain.status(at).age.unwrap() < Duration::millis(2_500), "{}", domain.status(at));
         assert_eq!(domain.status(at).counters.mismatches, 0, "{at}");
     }
--- a/src/fleet/distribution/tests/staging.rs
+++ b/src/fleet/distribution/tests/staging.rs
@@ -5,7 +5,7 @@
 use crate::fleet::distribution::stage::Staging;
 use proptest::prelude::*;
 
-const NOW: Timestamp = Timestamp(1_000_000_000_000);
+const START_TIME: Timestamp = Timestamp(1_000_000_000_000);
 
 /// The pages of a catch-up: from 0 on a snapshot.
 pub(super) fn pages(log: &Log, interest: &Interest, start: u64, from: u64) -> Vec<Page> {
@@ -18,7 +18,7 @@
             after,
             upto: part.upto,
             head: log.version(),
-            since: log.since(),
+            since: log.epoch_start(),
             digest: log.digest_of(interest),
             publishes: 0,
             age_ms: 0,
@@ -32,7 +32,7 @@
 
 /// Where the stage began, and how far it has come.
 fn reached(staging: &Staging) -> Option<(u64, u64)> {
-    staging.reached().map(|progress| (progress.start, progress.upto))
+    staging.progress().map(|progress| (progress.start, progress.upto))
 }
 
 pub(super) fn parent(workers: u64) -> Log {
@@ -47,14 +47,14 @@
         if page.head <= child.version() {
             continue;
         }
-        staging.take(NOW, child.version().sequence, page);
-        while let Some(verdict) = staging.verdict(child) {
-            if !verdict.matches {
+        staging.add_page(START_TIME, child.version().sequence, page);
+        while let Some(complete) = staging.complete_version(child) {
+            if !complete.is_consistent {
                 return false;
             }
             let next = staging.install(child);
             if let Some(page) = next.filter(|page| page.head > child.version()) {
-                staging.take(NOW, child.version().sequence, page);
+                staging.add_page(START_TIME, child.version().sequence, page);
             }
         }
     }
@@ -67,11 +67,11 @@
     let mut child = Log::default();
     child.commit(1, [worker(999, 0, 1), worker(3, 1, 8)]);
     let mut staging = Staging::default();
-    let pages = pages(&log, &zones(&[0]), 0, 0);
+    let pages = pages(&log, &zone_interest(&[0]), 0, 0);
     assert!(pages.len() > 1);
     assert!(settle(&mut staging, &mut child, pages));
     assert_eq!(child.version(), log.version());
-    assert_eq!(child.digest(), log.digest_of(&zones(&[0])));
+    assert_eq!(child.digest(), log.digest_of(&zone_interest(&[0])));
     assert_eq!(child.floor(&Interest::All), log.version().sequence, "removals of before are not known");
 }
 
@@ -93,9 +93,9 @@
     assert!(pages.len() > 40);
     let (mut staging, mut child) = (Staging::default(), Log::default());
     settle(&mut staging, &mut child, pages[1..].iter().cloned());
-    assert_eq!(staging.reached(), None);
+    assert_eq!(staging.progress(), None);
     settle(&mut staging, &mut child, pages[..1].to_vec());
-    let kept = crate::fleet::distribution::stage::WINDOW as u64;
+    let kept = crate::fleet::distribution::stage::WINDOW_PAGES as u64;
     assert_eq!(reached(&staging), Some((0, pages[kept as usize].upto)));
 }
 
@@ -105,12 +105,12 @@
     let pages = pages(&log, &Interest::All, 0, 0);
     let (mut staging, child) = (Staging::default(), Log::default());
     for page in &pages[..5] {
-        staging.take(NOW, child.version().sequence, page.clone());
+        staging.add_page(START_TIME, child.version().sequence, page.clone());
     }
-    let before = staging.reached();
-    staging.take(NOW + Duration::millis(199), 0, pages[0].clone());
-    assert_eq!(staging.reached(), before, "a late page");
-    staging.take(NOW + Duration::millis(200), 0, pages[0].clone());
+    let before = staging.progress();
+    staging.add_page(START_TIME + Duration::millis(199), 0, pages[0].clone());
+    assert_eq!(staging.progress(), before, "a late page");
+    staging.add_page(START_TIME + Duration::millis(200), 0, pages[0].clone());
     assert_eq!(reached(&staging), Some((0, pages[0].upto)));
 }
 
@@ -121,7 +121,7 @@
     let mut log = parent(600);
     let old = pages(&log, &Interest::All, 0, 0);
     assert!(old.len() > 6);
-    log.commit(1, (0..40).map(|id| worker(7 * id, (7 * id % 3) as u8, 99)).chain([gone(1, 1)]));
+    log.commit(1, (0..40).map(|id| worker(7 * id, (7 * id % 3) as u8, 99)).chain([removal(1, 1)]));
     let new = pages(&log, &Interest::All, 0, 0);
     for cut in 1..6 {
         // Sent again from what was acknowledged, with other limits.
@@ -167,12 +167,12 @@
         repeats in prop::collection::vec(0usize..40, 0..10),
         of in prop::collection::btree_set(0u8..3, 0..3),
     ) {
-        let interest = zones(&of.into_iter().collect::<Vec<_>>());
+        let interest = zone_interest(&of.into_iter().collect::<Vec<_>>());
         let mut log = parent(workers);
         let mut sent = pages(&log, &interest, 0, 0);
         let mut base = log.version().sequence;
         for (id, zone, stays) in later {
-            log.commit(2, [if stays { worker(id, zone, 5) } else { gone(id, zone) }]);
+            log.commit(2, [if stays { worker(id, zone, 5) } else { removal(id, zone) }]);
             sent.extend(pages(&log, &interest, base, base));
             base = log.version().sequence;
         }
@@ -224,9 +224,9 @@
             return Ok(());
         }
         for (id, zone, stays) in later {
-            log.commit(1, [if stays { worker(id, zone, 5) } else { gone(id, zone) }]);
+            log.commit(1, [if stays { worker(id, zone, 5) } else { removal(id, zone) }]);
         }
-        staging.change_parent(NOW);
+        staging.change_parent(START_TIME);
         let (start, from) = reached(&staging).unwrap_or((start, start));
         let rest = pages(&log, &Interest::All, start, from);
         prop_assert!(settle(&mut staging, &mut child, rest), "a digest was wrong");
--- a/src/fleet/distribution/tests/tree.rs
+++ b/src/fleet/distribution/tests/tree.rs
@@ -4,19 +4,20 @@
 
 fn first_state(workers: u64) -> Vec<Change> {
     let workers = (0..workers).map(|id| worker(id, (id % 4) as u8, 1_000));
-    workers.chain([class("gold", "{}"), complete()]).collect()
+    workers.chain([class("gold", "{}"), completion()]).collect()
 }
 
 fn small() -> Domain {
-    let interests = (0..8).map(|n| zones(&[n % 4])).chain([Interest::All, zones(&[1, 3])]).collect();
+    let interests =
+        (0..8).map(|n| zone_interest(&[n % 4])).chain([Interest::All, zone_interest(&[1, 3])]).collect();
     let mut domain = Domain::new(1, 3, 2, interests);
     let publisher = domain.replicas[0];
     domain.elect(publisher, 600_000);
-    domain.pass(100);
+    domain.run_ms(100);
     let ticket = domain.publish(publisher, first_state(200));
-    domain.pass(5_000);
+    domain.run_ms(5_000);
     assert!(matches!(domain.outcome(publisher, ticket), Some(Ok(_))));
-    domain.assert_same(publisher);
+    domain.assert_converged(publisher);
     domain
 }
 
@@ -25,14 +26,15 @@
     let mut domain = small();
     let publisher = domain.replicas[0];
     for round in 0..20 {
-        let changes = vec![worker(round, (round % 4) as u8, 5), gone(100 + round, ((100 + round) % 4) as u8)];
+        let changes =
+            vec![worker(round, (round % 4) as u8, 5), removal(100 + round, ((100 + round) % 4) as u8)];
         domain.publish(publisher, changes);
-        domain.pass(50);
+        domain.run_ms(50);
     }
-    domain.pass(1_000);
-    domain.assert_same(publisher);
+    domain.run_ms(1_000);
+    domain.assert_converged(publisher);
     for at in domain.all() {
-        domain.assert_told(at);
+        domain.assert_outputs_match_records(at);
         assert_eq!(domain.status(at).counters.mismatches, 0, "{at}");
     }
 }
@@ -43,7 +45,7 @@
     let publisher = domain.replicas[0];
     let before: Vec<u64> = domain.relays.iter().map(|at| domain.status(*at).counters.pages).collect();
     domain.publish(publisher, vec![worker(0, 0, 7)]);
-    domain.pass(20);
+    domain.run_ms(20);
     for at in domain.subscribers.clone() {
         let wants = domain.interests[&at].covers(Topic::workers_of(ZoneId(0)));
         assert_eq!(domain.version(at) == domain.version(publisher), wants, "{at}");
@@ -51,8 +53,8 @@
     let after: Vec<u64> = domain.relays.iter().map(|at| domain.status(*at).counters.pages).collect();
     let pages: u64 = after.iter().sum::<u64>() - before.iter().sum::<u64>();
     assert_eq!(pages, 3, "two subscribers of the zone, and one of all");
-    domain.pass(1_000);
-    domain.assert_same(publisher);
+    domain.run_ms(1_000);
+    domain.assert_converged(publisher);
 }
 
 /// A publisher whose discovery is out of reach has nothing new to publish, and its word that a version is the newest says
@@ -66,20 +68,20 @@
             host.node.confirm_source(Timestamp(now.0));
             vec![]
         });
-        domain.pass(1_000);
+        domain.run_ms(1_000);
     }
     let ages = |domain: &Domain| -> Vec<Duration> {
         let age = |at: &SocketAddr| domain.status(*at).age.expect("it is known");
         domain.subscribers.iter().map(age).collect()
     };
     assert!(ages(&domain).iter().all(|age| *age < Duration::millis(2_000)), "{:?}", ages(&domain));
-    domain.pass(8_000);
+    domain.run_ms(8_000);
     assert!(ages(&domain).iter().all(|age| *age > Duration::millis(7_000)), "{:?}", ages(&domain));
     domain.net.act(publisher, |host, now| {
         host.node.confirm_source(Timestamp(now.0));
         vec![]
     });
-    domain.pass(2_000);
+    domain.run_ms(2_000);
     assert!(ages(&domain).iter().all(|age| *age < Duration::millis(3_000)), "{:?}", ages(&domain));
 }
 
@@ -88,9 +90,9 @@
     let mut domain = small();
     let publisher = domain.replicas[0];
     domain.publish(publisher, vec![worker(0, 1, 7), worker(4, 2, 7), worker(4, 3, 7)]);
-    domain.pass(1_000);
-    domain.assert_same(publisher);
-    domain.all().into_iter().for_each(|at| domain.assert_told(at));
+    domain.run_ms(1_000);
+    domain.assert_converged(publisher);
+    domain.all().into_iter().for_each(|at| domain.assert_outputs_match_records(at));
 }
 
 #[test]
@@ -99,7 +101,7 @@
     let publisher = domain.replicas[0];
     let before = domain.version(publisher);
     let ticket = domain.publish(publisher, first_state(200));
-    let gone = domain.publish(publisher, vec![gone(9_999, 0)]);
+    let gone = domain.publish(publisher, vec![removal(9_999, 0)]);
     assert_eq!(domain.outcome(publisher, ticket), Some(Ok(before)));
     assert_eq!(domain.outcome(publisher, gone), Some(Ok(before)));
 }
@@ -111,8 +113,8 @@
     let snapshots: u64 = domain.subscribers.iter().map(|at| domain.status(*at).counters.snapshots).sum();
     domain.net.kill(domain.relays[0]);
     domain.publish(publisher, vec![worker(0, 0, 9), worker(1, 1, 9), worker(2, 2, 9), worker(3, 3, 9)]);
-    domain.pass(2_500);
-    domain.assert_same(publisher);
+    domain.run_ms(2_500);
+    domain.assert_converged(publisher);
     let after: u64 = domain.subscribers.iter().map(|at| domain.status(*at).counters.snapshots).sum();
     assert_eq!(after, snapshots, "they go on from what they have");
 }
@@ -124,11 +126,11 @@
     for at in [domain.subscribers[0], domain.relays[1], domain.replicas[2]] {
         domain.start(at);
     }
-    domain.pass(5_000);
-    domain.assert_same(publisher);
+    domain.run_ms(5_000);
+    domain.assert_converged(publisher);
     for at in [domain.subscribers[0], domain.relays[1], domain.replicas[2]] {
         assert_eq!(domain.status(at).counters.snapshots, 1, "{at}");
-        domain.assert_told(at);
+        domain.assert_outputs_match_records(at);
     }
 }
 
@@ -141,7 +143,7 @@
     for control in [&domain.replicas[..], &domain.relays].concat() {
         domain.net.kill(control);
     }
-    domain.pass(60_000);
+    domain.run_ms(60_000);
     assert_eq!((domain.version(at), domain.records(at)), (version, records.clone()));
     let status = domain.status(at);
     assert!(status.parent.is_none() && status.age.unwrap() > Duration::millis(59_000), "{status}");
@@ -149,18 +151,18 @@
     for control in [&domain.replicas[..], &domain.relays].concat() {
         domain.start(control);
     }
-    domain.pass(3_000);
+    domain.run_ms(3_000);
     assert_eq!(domain.records(at), records, "nothing is served before the first state is whole");
     domain.elect(publisher, 600_000);
-    domain.pass(1_000);
+    domain.run_ms(1_000);
     let changed = first_state(200).into_iter().chain([worker(0, 0, 77)]).collect();
     domain.publish(publisher, changed);
-    domain.pass(10_000);
-    domain.assert_same(publisher);
+    domain.run_ms(10_000);
+    domain.assert_converged(publisher);
     // Those whose records are the same took over the version and fetched nothing.
     let of_zone_1 = domain.subscribers[1];
     assert_eq!(domain.status(of_zone_1).counters.snapshots, 1, "the first one");
-    domain.subscribers.iter().for_each(|at| domain.assert_told(*at));
+    domain.subscribers.iter().for_each(|at| domain.assert_outputs_match_records(*at));
     assert!(domain.status(at).age.unwrap() < Duration::millis(1_500));
 }
 
@@ -169,23 +171,23 @@
     let mut domain = small();
     let publisher = domain.replicas[0];
     let at = domain.subscribers[0];
-    domain.start_with(at, Box::new(Refuses("odd")));
-    domain.pass(2_000);
+    domain.start_with(at, Box::new(RejectsClass("odd")));
+    domain.run_ms(2_000);
     let before = domain.records(at);
     domain.publish(publisher, vec![worker(0, 0, 3), class("gold", "odd")]);
-    domain.pass(3_000);
+    domain.run_ms(3_000);
     assert_eq!(domain.records(at), before, "whole, or not at all");
     let status = domain.status(at);
     let RefusedVersion { version: refused, why } = status.refused.clone().unwrap();
     assert_eq!((refused, why.as_str()), (domain.version(publisher), "odd is not allowed"));
     assert_eq!(status.counters.refused, 1, "tried once");
     domain.publish(publisher, vec![worker(4, 0, 3)]);
-    domain.pass(1_000);
+    domain.run_ms(1_000);
     assert_eq!((domain.records(at), domain.status(at).counters.refused), (before, 2), "still bad");
     domain.publish(publisher, vec![class("gold", "fine")]);
-    domain.pass(1_000);
-    domain.assert_same(publisher);
-    domain.assert_told(at);
+    domain.run_ms(1_000);
+    domain.assert_converged(publisher);
+    domain.assert_outputs_match_records(at);
     assert!(domain.status(at).refused.is_none());
 }
 
@@ -200,14 +202,14 @@
     let malformed =
         domain.publish(publisher, vec![worker(0, 0, 3), Change { topic: Topic(9), ..worker(1, 1, 3) }]);
     assert!(matches!(domain.outcome(publisher, malformed), Some(Err(PublishError::Invalid(_)))));
-    domain.pass(1_000);
+    domain.run_ms(1_000);
     assert_eq!(domain.version(publisher), before);
 }
 
 #[test]
 fn a_network_that_loses_repeats_and_spoils_only_delays() {
     for seed in 0..10 {
-        let interests = (0..6).map(|n| zones(&[n % 4])).collect();
+        let interests = (0..6).map(|n| zone_interest(&[n % 4])).collect();
         let mut domain = Domain::new(seed, 3, 2, interests);
         let bad = Link {
             loss: 0.15,
@@ -219,21 +221,21 @@
         domain.net.set_links(move |_, _| Some(bad));
         let publisher = domain.replicas[1];
         domain.elect(publisher, 600_000);
-        domain.pass(2_000);
+        domain.run_ms(2_000);
         domain.publish(publisher, first_state(400));
-        domain.pass(20_000);
+        domain.run_ms(20_000);
         for round in 0..50 {
             domain.publish(
                 publisher,
-                vec![worker(round, (round % 4) as u8, 5), gone(round + 100, (round % 4) as u8)],
+                vec![worker(round, (round % 4) as u8, 5), removal(round + 100, (round % 4) as u8)],
             );
-            domain.pass(100);
+            domain.run_ms(100);
         }
         domain.net.set_links(|_, _| None);
-        domain.pass(5_000);
-        domain.assert_same(publisher);
+        domain.run_ms(5_000);
+        domain.assert_converged(publisher);
         for at in domain.all() {
-            domain.assert_told(at);
+            domain.assert_outputs_match_records(at);
             assert_eq!(domain.status(at).counters.mismatches, 0, "seed {seed}, {at}");
         }
     }
@@ -241,30 +243,30 @@
 
 #[test]
 fn a_parent_killed_in_the_middle_of_a_snapshot_is_followed_by_the_next_where_it_stood() {
-    let mut domain = Domain::paced(1, 3, 2, vec![Interest::All], 100_000);
+    let mut domain = Domain::with_rate(1, 3, 2, vec![Interest::All], 100_000);
     let publisher = domain.replicas[0];
     domain.elect(publisher, 600_000);
-    domain.pass(100);
+    domain.run_ms(100);
     domain.publish(publisher, first_state(4_000));
-    domain.pass(20_000);
-    domain.assert_same(publisher);
+    domain.run_ms(20_000);
+    domain.assert_converged(publisher);
     let at = domain.subscribers[0];
     domain.start(at);
-    domain.pass(500);
+    domain.run_ms(500);
     let parent = domain.status(at).parent.expect("it has begun");
     assert_eq!(domain.version(at), Version::default(), "and is not done");
     let survivor = if parent == domain.relays[0] { domain.relays[1] } else { domain.relays[0] };
     let (sent, before) = (domain.status(parent).counters.pages, domain.status(survivor).counters.pages);
     domain.net.kill(parent);
-    domain.pass(5_000);
-    domain.assert_same(publisher);
-    domain.assert_told(at);
+    domain.run_ms(5_000);
+    domain.assert_converged(publisher);
+    domain.assert_outputs_match_records(at);
     assert_eq!(domain.status(at).counters.mismatches, 0);
     let rest = domain.status(survivor).counters.pages - before;
     // The same again, undisturbed, tells how many pages a whole snapshot takes.
     domain.start(at);
-    domain.pass(5_000);
-    domain.assert_same(publisher);
+    domain.run_ms(5_000);
+    domain.assert_converged(publisher);
     let whole = domain.status(survivor).counters.pages - before - rest;
     let window = 16;
     assert!(sent > 30 && rest + sent <= whole + window, "{sent} and {rest} pages, and {whole} at once");
--- a/src/fleet/distribution/tests/wire.rs
+++ b/src/fleet/distribution/tests/wire.rs
@@ -25,7 +25,7 @@
         DistributionMessage::Promise { fence: u64::MAX, version, recovered: true, accepted },
         DistributionMessage::Accept { fence: u64::MAX, proposal },
         DistributionMessage::Report(ChildReport {
-            interest: zones(&(0..=255).collect::<Vec<_>>()),
+            interest: zone_interest(&(0..=255).collect::<Vec<_>>()),
             version,
             digest: u64::MAX,
             staged: Some(Progress { start: u64::MAX, begun: u64::MAX, upto: u64::MAX }),
@@ -40,23 +40,23 @@
     assert!(changes[0].size() >= PAGE_BYTES - 2, "{}", changes[0].size());
     let from = ProcessId { index: u32::MAX, incarnation: u64::MAX };
     for message in largest(changes) {
-        let bytes = datagram(FLEET, from, std::slice::from_ref(&message));
+        let bytes = datagram(FLEET_ID, from, std::slice::from_ref(&message));
         assert!(bytes.len() <= message::LARGEST, "{}", bytes.len());
-        assert_eq!(read(FLEET, &bytes), Ok((from, vec![message])));
-        assert_eq!(read(FLEET + 1, &bytes), Err(DatagramError::Fleet));
+        assert_eq!(read(FLEET_ID, &bytes), Ok((from, vec![message])));
+        assert_eq!(read(FLEET_ID + 1, &bytes), Err(DatagramError::Fleet));
         let mut earlier = bytes[..bytes.len() - 4].to_vec();
         earlier[3] = 2;
         earlier.extend(crc32fast::hash(&earlier).to_be_bytes());
-        assert_eq!(read(FLEET, &earlier), Err(DatagramError::Version));
+        assert_eq!(read(FLEET_ID, &earlier), Err(DatagramError::Version));
     }
 }
 
 #[test]
 fn what_is_too_long_is_not_read() {
     let message = DistributionMessage::Prepare { fence: 1 };
-    let bytes = datagram(FLEET, ProcessId { index: 0, incarnation: 0 }, &vec![message; 1_000]);
+    let bytes = datagram(FLEET_ID, ProcessId { index: 0, incarnation: 0 }, &vec![message; 1_000]);
     assert!(bytes.len() > message::LARGEST);
-    assert_eq!(read(FLEET, &bytes), Err(DatagramError::Malformed));
+    assert_eq!(read(FLEET_ID, &bytes), Err(DatagramError::Malformed));
 }
 
 fn any_version() -> impl Strategy<Value = Version> {
@@ -145,16 +145,16 @@
         let mut domain = Domain::new(1, 3, 1, vec![Interest::All]);
         let publisher = domain.replicas[0];
         domain.elect(publisher, 600_000);
-        domain.pass(50);
-        domain.publish(publisher, vec![worker(1, 0, 1), class("1", "x"), complete()]);
-        domain.pass(1_500);
+        domain.run_ms(50);
+        domain.publish(publisher, vec![worker(1, 0, 1), class("1", "x"), completion()]);
+        domain.run_ms(1_500);
         let before = domain.version(publisher);
         for (message, at, ms) in events {
             let at = domain.all()[at];
-            let from = if trusted { domain.all()[(ms % 4) as usize] } else { place(100 + ms as usize) };
+            let from = if trusted { domain.all()[(ms % 4) as usize] } else { address(100 + ms as usize) };
             let messages = [message];
             domain.net.act(at, |host, now| host.handle(now, DistributionInput::Received { from, messages: &messages }));
-            domain.pass(ms * ms);
+            domain.run_ms(ms * ms);
         }
         if !trusted {
             for at in domain.all() {
@@ -163,10 +163,10 @@
             prop_assert!(domain.status(publisher).publisher.is_some());
             // A relay that looks at another parent is that one's child, too, for three seconds of a minute.
             let children = |domain: &mut Domain| {
-                domain.pass(1_000);
+                domain.run_ms(1_000);
                 domain.all().iter().map(|at| domain.status(*at).children).sum::<usize>()
             };
-            domain.pass(3_000);
+            domain.run_ms(3_000);
             let fewest = (0..10).map(|_| children(&mut domain)).min();
             prop_assert_eq!(fewest, Some(4), "two replicas, a relay and its child: strangers are forgotten");
         }
@@ -174,13 +174,13 @@
 
     #[test]
     fn noise_in_datagrams_is_not_read(noise in prop::collection::vec(any::<u8>(), 0..1_400)) {
-        prop_assert!(read(FLEET, &noise).is_err());
+        prop_assert!(read(FLEET_ID, &noise).is_err());
         let mut framed = vec![];
         framed.extend(b"mgf");
         framed.push(message::VERSION);
-        framed.extend(FLEET.to_be_bytes());
+        framed.extend(FLEET_ID.to_be_bytes());
         framed.extend(noise);
         framed.extend(crc32fast::hash(&framed).to_be_bytes());
-        let _ = read(FLEET, &framed);
+        let _ = read(FLEET_ID, &framed);
     }
 }
--- a/src/fleet/distribution/wire.rs
+++ b/src/fleet/distribution/wire.rs
@@ -1,4 +1,4 @@
-//! What processes of a domain say to each other. Messages travel in the fleet's datagrams ([`crate::fleet::message`]).
+//! The messages between processes of a domain. They travel in the fleet's datagrams ([`crate::fleet::message`]).
 
 use super::record::{Change, Topic, Version};
 use crate::fleet::Process;
@@ -6,21 +6,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Encoded bytes of changes in one page or proposal: with all heads it fits into a datagram.
+/// Maximum encoded size of the changes in one page or proposal, in bytes. Together with all headers they fit into a
+/// datagram.
 pub const PAGE_BYTES: usize = 1_150;
 
-/// Which topics a process wants.
+/// The topics that a process subscribes to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Interest {
-    /// All of the domain.
+    /// All topics of the domain.
     All,
-    /// These, in order and each once.
+    /// These topics, sorted and without duplicates.
     Topics(Vec<Topic>),
 }
 
 impl Interest {
-    /// The same with its topics in order and each once, as others expect them.
-    pub fn in_order(self) -> Interest {
+    /// Sorts the topics and removes duplicates, as parents require.
+    pub fn normalized(self) -> Interest {
         match self {
             Interest::All => Interest::All,
             Interest::Topics(topics) => {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Whether a topic belongs to it. [`Topic::SETTINGS`] belongs to every interest.
+    /// Whether the interest includes a topic. Every interest includes [`Topic::SETTINGS`].
     pub fn covers(&self, topic: Topic) -> bool {
         match self {
             Interest::All => true,
@@ -39,61 +40,63 @@
     }
 }
 
-/// A child's report to its parent: a heartbeat, and the acknowledgement of pages.
+/// The report of a child to its parent: a heartbeat that also acknowledges pages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChildReport {
-    /// What it wants.
+    /// The topics to receive.
     pub interest: Interest,
-    /// What it has in force.
+    /// The installed version.
     pub version: Version,
-    /// The digest over its records.
+    /// The digest over the installed records.
     pub digest: u64,
-    /// How far a catch-up under way has come.
+    /// The progress of a catch-up, if one is under way.
     pub staged: Option<Progress>,
 }
 
-/// How far a catch-up has come.
+/// The progress of a catch-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Where it began: 0 for a snapshot.
+    /// The sequence that it started from; 0 for a snapshot.
     pub start: u64,
-    /// The sequence of the parent's version when it began: nothing that was removed up to there was taken in.
+    /// The sequence of the parent's version when it started. Of the records removed up to there, none was received.
     pub begun: u64,
-    /// Up to which sequence its pages have come without a gap.
+    /// The sequence up to which pages were received without a gap.
     pub upto: u64,
 }
 
-/// A page from a parent to a child: the records of its interest whose last change lies in `(after, upto]`, in the order of
-/// those changes. Without changes it says that there are none, and that the parent lives.
+/// A page from a parent to a child: the records of its interest whose last change lies in `(after, upto]`, in the order
+/// of those changes. A page without changes states that there are none, and serves as a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Where the catch-up of which this is a page began. From 0 on it holds all records, and replaces what the child has.
+    /// The sequence that the catch-up started from. One that started from 0 is a snapshot, which replaces all records
+    /// of the child.
     pub start: u64,
-    /// The page follows on this sequence.
+    /// The sequence that the page follows.
     pub after: u64,
     /// The last sequence that it covers.
     pub upto: u64,
-    /// The parent's committed version. The pages are whole when `upto` has come to its sequence.
+    /// The parent's committed version. The catch-up is complete when `upto` has reached its sequence.
     pub head: Version,
     /// The first sequence that was committed under the head's fence, as far as the parent knows.
     pub since: u64,
-    /// The digest over all records of the interest at `head`; only then does it count for what the child holds.
+    /// The digest over all records of the interest at `head`. The child can compare it with its own only at that
+    /// version.
     pub digest: u64,
-    /// The fence under which the parent publishes at this moment; 0 where it doesn't.
+    /// The fence under which the parent currently publishes; 0 if it is not the publisher.
     pub publishes: u64,
-    /// How long ago the parent itself was last known to be up to date, in milliseconds; [`Page::NEVER`] if it never was.
+    /// Time since the parent itself was last known to be up to date, in milliseconds; [`Page::NEVER`] if it never was.
     pub age_ms: u32,
     /// The changes.
     pub changes: Vec<Change>,
-    /// How far each change's sequence lies after that of the one before it; the first's, after `after`.
+    /// The distance of each change's sequence from the previous one, or from `after` for the first change.
     pub steps: Vec<u64>,
 }
 
 impl Page {
-    /// The age of one that was never known to be up to date.
+    /// The age of a process that was never known to be up to date.
     pub const NEVER: u32 = u32::MAX;
 
-    /// The sequence of each change; none where a step can't be true.
+    /// The sequence of each change; `None` if the steps are not valid.
     pub fn sequences(&self) -> Option<Vec<u64>> {
         let next = |at: &mut u64, step: &u64| {
             *at = at.checked_add(*step).filter(|sequence| *step > 0 && *sequence <= self.upto)?;
@@ -104,75 +107,76 @@
     }
 }
 
-/// A batch of changes that the publisher wants committed as one.
+/// A batch of changes that the publisher proposes to commit together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The fence under which it was first proposed. It becomes that of the version, also where a later publisher proposes
-    /// the batch again: so one batch has one version, whoever brings it to an end.
+    /// The fence under which it was first proposed. It becomes the fence of the version, even if a later publisher
+    /// proposes the batch again, so that a batch has the same version whichever publisher commits it.
     pub fence: u64,
-    /// The sequence after which it comes: the publisher's committed one.
+    /// The version that it follows: the publisher's committed one.
     pub after: Version,
-    /// The changes, at least one; the last one's sequence is `after.sequence` and their number.
+    /// The changes, at least one. The sequence of the last one is `after.sequence` plus their number.
     pub changes: Vec<Change>,
 }
 
-/// What one process says to another.
+/// A message between two processes of a domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DistributionMessage {
-    /// To a parent.
+    /// From a child to its parent.
     Report(ChildReport),
-    /// To a child.
+    /// From a parent to a child.
     Page(Page),
-    /// To a replica, from the holder of the lease with this fence: accept nothing of a lower one from now on.
+    /// From the holder of the lease to a replica: don't accept anything under a lower fence from now on.
     Prepare {
         /// The sender's fence.
         fence: u64,
     },
-    /// From a replica: promised. It has this committed version and this accepted batch after it.
+    /// From a replica: it promises, and states its committed version and the batch that it has accepted after it, if
+    /// any.
     Promise {
         /// The fence that was promised.
         fence: u64,
-        /// What is committed here.
+        /// The replica's committed version.
         version: Version,
-        /// Whether this replica has caught up with an active publisher since it started. One that has not may have forgotten
-        /// what it accepted before, and its promise counts only where too few others are left.
+        /// Whether this replica has caught up with an active publisher since it started. One that has not may have lost
+        /// what it accepted before, and its promise counts only if too few other replicas are left.
         recovered: bool,
-        /// A batch that was accepted here and is not known to be committed, with its publisher's fence.
+        /// A batch that the replica accepted and does not know to be committed, with the fence of the publisher.
         accepted: Option<(u64, Proposal)>,
     },
-    /// To a replica: accept this batch.
+    /// From the publisher to a replica: accept this batch.
     Accept {
         /// The sender's fence.
         fence: u64,
         /// The batch.
         proposal: Proposal,
     },
-    /// From a replica: accepted.
+    /// From a replica: the batch was accepted.
     Accepted {
         /// The publisher's fence.
         fence: u64,
-        /// The sequence after which the batch comes.
+        /// The sequence that the batch follows.
         after: u64,
     },
-    /// From a replica: a higher fence was promised here, or this replica has not caught up to `after` yet.
+    /// From a replica: it has promised a higher fence, or has not caught up with the proposal's `after` yet.
     Rejected {
-        /// The fence that was promised here.
+        /// The highest fence that the replica has promised.
         promised: u64,
-        /// What is committed here.
+        /// The replica's committed version.
         version: Version,
     },
 }
 
-/// A datagram of the distribution. One message fits into it, whichever it is.
+/// Encodes a datagram with these messages. Any single message fits.
 pub fn datagram(fleet: u64, from: Process, messages: &[DistributionMessage]) -> Vec<u8> {
     let datagram = Datagram { distribution: messages.to_vec(), ..Datagram::empty(from) };
     message::write(fleet, &datagram)
 }
 
-/// Reads one: who sent it, and the messages.
+/// Decodes a datagram into its sender and messages.
 ///
 /// # Errors
-/// The datagram is cut off or changed, of another version, or of another domain.
+/// The datagram is truncated or corrupt, or belongs to another protocol version or domain.
 pub fn read(fleet: u64, bytes: &[u8]) -> Result<(Process, Vec<DistributionMessage>), DatagramError> {
     let datagram = message::read(fleet, bytes)?;
     Ok((datagram.from, datagram.distribution))
