--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -191,7 +191,7 @@
     fn new(mut config: Config, operator: Operator, sources: Sources, signals: Signals) -> io::Result<Daemon> {
         let clock = match (&operator.fleet, &operator.distribution) {
             (None, None) => SystemClock::new(),
-            _ => SystemClock::counting_sleep(),
+            _ => SystemClock::including_suspend(),
         };
         let mut reactor = retry_while_transient(|| Reactor::new(clock))?;
         let Signals { end, print, reload } = signals;
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -275,7 +275,7 @@
                 Ok(None) => break,
                 Ok(Some((event, size))) => {
                     read += size;
-                    let arrived = link.arrived(link.input.len() - read);
+                    let arrived = link.arrival_time(link.input.len() - read);
                     if let Err(error) = self.take_frame(event, arrived, context.now) {
                         return close_unreadable(error, link, context);
                     }
@@ -285,7 +285,7 @@
         }
         link.consume(read);
         if read > 0 {
-            context.core.discovery_received(context.now, link.arrived(link.input.len()));
+            context.core.discovery_received(context.now, link.arrival_time(link.input.len()));
         }
         if link.peer_closed { ControlFlow::Close } else { ControlFlow::Continue }
     }
--- a/src/front/frames.rs
+++ b/src/front/frames.rs
@@ -407,7 +407,7 @@
                     from += size;
                     begun = true;
                     (self.used, self.last) = (true, context.now);
-                    let arrived = link.arrived(bytes.len() - from);
+                    let arrived = link.arrival_time(bytes.len() - from);
                     if let Err(why) = self.frame(&frame, arrived, link, context) {
                         break Some(why);
                     }
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -286,7 +286,7 @@
 
 /// When the line came that has just been taken from the input.
 fn arrived(link: &Link) -> Timestamp {
-    link.arrived(link.input.len())
+    link.arrival_time(link.input.len())
 }
 
 /// When a client that waits so long, counted from when its line came, is to have its answer.
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! What a connection is to the reactor: an object with callbacks.
+//! The interface between the reactor and a connection: the callbacks and what they may use.
 
 use super::{Link, SystemClock};
 use crate::chain::End;
@@ -10,14 +10,14 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Whether a connection goes on after a callback.
+/// Whether a connection stays open after a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlFlow {
-    /// It does.
+    /// It stays open.
     Continue,
-    /// Nothing more is read; it ends once what is owed has been written.
+    /// No more input is processed; it closes once the output has been written and the peer has closed its half.
     Finish,
-    /// It ends now.
+    /// It closes now.
     Close,
 }
 
@@ -32,99 +32,107 @@
     }
 }
 
-/// What a callback may use.
+/// What a connection's callback may use.
 pub struct Context<'a> {
     /// The scheduler.
     pub core: &'a mut Core,
-    /// The time at which the callback began.
+    /// The time at which the callback started.
     pub now: Timestamp,
-    /// For what must know the time at the moment.
+    /// The clock, for checks that need the time at the moment they are made.
     pub clock: SystemClock,
-    /// Whether new requests are taken.
+    /// Whether the scheduler is ready for new requests.
     pub ready: bool,
-    /// Whether this daemon takes new requests on fronts of its host; see [`crate::vrrp`].
+    /// Whether this daemon is the host's active one and accepts new requests on its fronts; see [`crate::vrrp`].
     pub active: bool,
-    /// Whether clients are taken from the listener; see [`crate::handover`].
+    /// Whether clients are accepted from the listener; see [`crate::handover`].
     pub accepting: bool,
-    /// This process's place in its fleet, if it has one.
+    /// This process's fleet node, if it is a member of a fleet.
     pub fleet: Option<Rc<RefCell<FleetNode>>>,
-    /// Its place in a domain, if it has one.
+    /// This process's distribution node, if it is part of a domain.
     pub distribution: Option<Rc<RefCell<DistributionNode>>>,
 }
 
-/// A connection as an object: the reactor calls it back with what happens to it.
+/// A connection, called back by the reactor when something happens to it.
 pub trait Connection {
-    /// What is at the other end, for the log.
+    /// The kind of peer, for the log.
     fn kind(&self) -> &'static str;
-    /// The connection stands.
+    /// The connection is established.
     fn opened(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow;
-    /// There is new input in the link, or the other side has ended its half.
+    /// There is new input in the link, or the peer has closed its write half.
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow;
-    /// Everything put in line has been handed to the system.
-    fn flushed(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    /// All output has been written to the socket.
+    fn flushed(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    /// Bytes that were put in line long ago are about to go out, and none of them has: they may be taken back.
-    fn before_first_byte(&mut self, _link: &mut Link, _hub: &mut Context) {}
-    /// The time told by [`Connection::deadline`] has come.
-    fn on_timeout(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    /// Output that may have been queued a while ago is about to be written, and no byte of it has been: it may still be
+    /// discarded.
+    fn before_first_byte(&mut self, _link: &mut Link, _context: &mut Context) {}
+    /// The time returned by [`Connection::deadline`] has been reached.
+    fn on_timeout(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    /// When to be called back; asked after every callback.
+    /// When to call [`Connection::on_timeout`]; queried after every callback.
     fn deadline(&self) -> Option<Timestamp> {
         None
     }
-    /// The connection has ended, by whichever side. Called once.
+    /// The connection has been closed, by either side. Called once.
     fn closed(&mut self, link: &Link, context: &mut Context);
-    /// The final answer of a request that came in here.
+    /// Delivers the final answer to a request that was received on this connection.
     fn answer(
         &mut self,
         _stream: u64,
         _answer: &Answer,
         _link: &mut Link,
-        _hub: &mut Context,
+        _context: &mut Context,
     ) -> ControlFlow {
         ControlFlow::Continue
     }
-    /// The one end of a chain that came in here.
-    fn chain_ended(&mut self, _stream: u64, _end: &End, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    /// Delivers the result of a chain that was received on this connection.
+    fn chain_ended(
+        &mut self,
+        _stream: u64,
+        _end: &End,
+        _link: &mut Link,
+        _context: &mut Context,
+    ) -> ControlFlow {
         ControlFlow::Continue
     }
-    /// A job for the worker at the other end.
-    fn submit_job(&mut self, _job: Job, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    /// Queues a job for the worker at the other end.
+    fn submit_job(&mut self, _job: Job, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    /// Whether a job could be given now: its reference is not open here and there is room.
+    /// Whether a job could be queued now: its reference is not in use on this connection and there is room.
     fn can_accept(&self, _reference: Option<&str>) -> bool {
         false
     }
-    /// How many requests are open here.
+    /// Number of requests open on this connection.
     fn open_requests(&self) -> usize {
         0
     }
-    /// No new request is wanted here any more.
-    fn send_leave(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    /// Asks the client to send no new request on this connection, if its protocol has a message for that.
+    fn send_leave(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    /// Whether a request is half read here.
+    /// Whether a part of a request has been received.
     fn has_partial_request(&self) -> bool {
         false
     }
-    /// Whether a request is half read here, or may still come because none has.
+    /// Whether a part of a request has been received, or a first request may still arrive.
     fn may_receive_request(&self) -> bool {
         false
     }
-    /// Since when nothing is open here, so that it may be closed to make room; none while something is.
+    /// Since when nothing is open on this connection, so that it may be closed to free a descriptor; `None` while
+    /// something is open.
     fn idle_since(&self) -> Option<Timestamp> {
         None
     }
-    /// The attempt that is next in line here and could be written now. It is written only by
-    /// [`Connection::write_next_attempt`], once its client's connection has been read.
+    /// The attempt at the head of the queue, if it could be written now. Only [`Connection::write_next_attempt`] writes
+    /// it, after its client's connection has been read.
     fn next_attempt(&self, _link: &Link) -> Option<AttemptId> {
         None
     }
-    /// Writes the attempt that is next in line, if it may still go.
-    fn write_next_attempt(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    /// Writes the attempt at the head of the queue, if it may still be sent.
+    fn write_next_attempt(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
 }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -1,4 +1,4 @@
-//! A listener that whoever started this process has left open for it, named by its number.
+//! A listening socket inherited from the parent process, identified by its descriptor number.
 
 use nix::sys::socket::{ControlMessage, MsgFlags, sendmsg};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, recvmsg, sockopt};
@@ -8,12 +8,12 @@
 use std::os::fd::{AsRawFd, OwnedFd, RawFd};
 use std::os::unix::net::UnixStream;
 
-/// The listening TCP socket of this number. Nothing tells a number from a descriptor that this process has
-/// opened itself, so it is sent over a socket pair and comes back as one that is owned. The one of that number
-/// stays open until the process ends.
+/// Returns an owned duplicate of the listening TCP socket with this descriptor number. A bare number cannot be told from
+/// a descriptor that this process opened itself, so the descriptor is passed over a socket pair, which yields an owned
+/// one. The original stays open until the process exits.
 ///
 /// # Errors
-/// The number is no descriptor, or leads to no listening TCP socket.
+/// The number is not an open descriptor, or not that of a listening TCP socket.
 pub fn listener(number: RawFd) -> io::Result<TcpListener> {
     let (near, far) = UnixStream::pair()?;
     let bytes = [IoSlice::new(&[0])];
@@ -32,12 +32,12 @@
         RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
-    let passed: OwnedFd = passed.ok_or_else(|| io::Error::other("it did not come back"))?;
+    let passed: OwnedFd = passed.ok_or_else(|| io::Error::other("the descriptor was not passed back"))?;
     let listens = sockopt::socket_acceptconn(&passed).unwrap_or(false);
     let listener = TcpListener::from(passed);
     match listener.local_addr() {
         Ok(_) if listens => Ok(listener),
-        _ => Err(io::Error::new(io::ErrorKind::InvalidInput, "it is no listening TCP socket")),
+        _ => Err(io::Error::new(io::ErrorKind::InvalidInput, "not a listening TCP socket")),
     }
 }
 
--- a/src/net/inherit/tests.rs
+++ b/src/net/inherit/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_a_listening_tcp_socket_is_taken() {
+fn only_a_listening_tcp_socket_is_accepted() {
     let passed = TcpListener::bind("127.0.0.1:0").unwrap();
     let adopted = listener(passed.as_raw_fd()).unwrap();
     assert_eq!(adopted.local_addr().unwrap(), passed.local_addr().unwrap());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: the clock, buffered links over TCP or Unix streams, and the reactor that calls connections back.
+//! Sockets: the process's clock, buffered TCP and Unix streams, and the reactor that drives connections.
 
 mod arrivals;
 mod connection;
@@ -23,76 +23,80 @@
 use std::net::Shutdown;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time at the start plus the time since, so that a set clock moves no deadline.
+/// The process's clock: Unix time at its creation plus the time elapsed since, so that a step of the wall clock moves no
+/// deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemClock {
     base: Timestamp,
-    start: Start,
+    start: StartTime,
 }
 
-/// The process's clock at one moment, and how far the wall clock was ahead of it.
+/// A reading of the process's clock together with the wall clock's offset from it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The time by the process's clock.
-    pub own: Timestamp,
-    /// By how many nanoseconds the wall clock was ahead; none where that is not known.
+    /// Time by the process's clock.
+    pub process_time: Timestamp,
+    /// Nanoseconds by which the wall clock is ahead of the process's clock; `None` if unknown.
     pub wall_ahead: Option<i64>,
 }
 
 impl ClockReading {
-    /// Before anything that is known of.
-    pub const UNKNOWN: ClockReading = ClockReading { own: Timestamp(0), wall_ahead: None };
+    /// Earlier than any other reading, with an unknown offset.
+    pub const UNKNOWN: ClockReading = ClockReading { process_time: Timestamp(0), wall_ahead: None };
 }
 
-/// What the time since the start is read from.
+/// The clock that measures the time elapsed since the start.
 #[derive(Clone, Copy, Debug)]
-enum Start {
-    /// A clock that may stand still while the machine sleeps.
+enum StartTime {
+    /// A monotonic clock, which may stop while the machine is suspended.
     Monotonic(Instant),
-    /// One that counts that time too, from when the machine came up.
+    /// The boot-time clock, which includes suspended time; the time since boot at the start.
     Boot(Duration),
 }
 
 impl SystemClock {
-    /// A clock that starts at the system's present time.
+    /// Creates a clock that starts at the system's current time.
     pub fn new() -> SystemClock {
-        SystemClock { base: SystemClock::unix(), start: Start::Monotonic(Instant::now()) }
+        SystemClock { base: SystemClock::unix_now(), start: StartTime::Monotonic(Instant::now()) }
     }
 
-    /// The same, but time in which the machine was stopped counts, as leases need it.
-    pub fn counting_sleep() -> SystemClock {
-        SystemClock { base: SystemClock::unix(), start: Start::Boot(SystemClock::boot()) }
+    /// As [`SystemClock::new`], but includes time during which the machine is suspended, as leases require.
+    pub fn including_suspend() -> SystemClock {
+        SystemClock { base: SystemClock::unix_now(), start: StartTime::Boot(SystemClock::time_since_boot()) }
     }
 
-    fn unix() -> Timestamp {
+    fn unix_now() -> Timestamp {
         Timestamp(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64)
     }
 
-    fn boot() -> Duration {
+    fn time_since_boot() -> Duration {
         let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
         Duration(at.tv_sec as u64 * 1_000_000_000 + at.tv_nsec as u64)
     }
 
-    /// Unix time as the wall clock shows it now. It may be stepped at any time: only points in time from outside are
-    /// compared with it.
+    /// The wall clock's current Unix time. It may be stepped at any time, so it is only compared with points in time
+    /// that come from outside the process.
     pub fn wall(&self) -> Timestamp {
-        SystemClock::unix()
+        SystemClock::unix_now()
     }
 
-    /// The present time by both clocks. The process's clock is looked at first: whoever turns a point in Unix time into one
-    /// of the process's clock by it gets one that is too early, if any, where the process is stopped in between.
+    /// Reads both clocks. The process's clock is read first: if the process is suspended between the two reads, a Unix
+    /// time converted with this reading comes out too early, never too late.
     pub fn reading(&self) -> ClockReading {
-        let own = self.now();
-        ClockReading { own, wall_ahead: Some(self.wall().0.wrapping_sub(own.0).cast_signed()) }
+        let process_time = self.now();
+        ClockReading {
+            process_time,
+            wall_ahead: Some(self.wall().0.wrapping_sub(process_time.0).cast_signed()),
+        }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
-        let since = match self.start {
-            Start::Monotonic(start) => Duration(start.elapsed().as_nanos() as u64),
-            Start::Boot(start) => Duration(SystemClock::boot().0.saturating_sub(start.0)),
+        let elapsed = match self.start {
+            StartTime::Monotonic(start) => Duration(start.elapsed().as_nanos() as u64),
+            StartTime::Boot(start) => Duration(SystemClock::time_since_boot().0.saturating_sub(start.0)),
         };
-        self.base + since
+        self.base + elapsed
     }
 }
 
@@ -102,12 +106,12 @@
     }
 }
 
-/// A stream of either kind.
+/// A TCP or Unix stream.
 #[derive(Debug)]
 pub enum Stream {
-    /// Over TCP.
+    /// A TCP stream.
     Tcp(TcpStream),
-    /// Over a Unix socket.
+    /// A Unix stream.
     Unix(UnixStream),
 }
 
@@ -119,7 +123,8 @@
         }
     }
 
-    /// Reads what there is, up to the buffer's size; and when the last byte came, in Unix time, if the kernel tells.
+    /// Reads available bytes, up to the buffer's size. Returns their number and, if the kernel supplies it, the Unix
+    /// time at which the last of them was received.
     fn receive(&mut self, buffer: &mut [u8]) -> io::Result<(usize, Option<Timestamp>)> {
         match self {
             Stream::Tcp(stream) => receive::receive(stream, buffer),
@@ -134,16 +139,19 @@
         }
     }
 
-    /// Says that nothing more is written.
-    fn shut(&self) {
+    /// Shuts down the write half.
+    fn shutdown_write(&self) {
         let _ = match self {
             Stream::Tcp(stream) => stream.shutdown(Shutdown::Write),
             Stream::Unix(stream) => stream.shutdown(Shutdown::Write),
         };
     }
 
-    /// Whether a connect has come through; an error says that it never will.
-    fn connected(&mut self) -> io::Result<bool> {
+    /// Whether a non-blocking connect has succeeded.
+    ///
+    /// # Errors
+    /// The connect has failed.
+    fn is_connected(&mut self) -> io::Result<bool> {
         let (error, peer) = match self {
             Stream::Tcp(stream) => (stream.take_error()?, stream.peer_addr().map(drop)),
             Stream::Unix(stream) => (stream.take_error()?, stream.peer_addr().map(drop)),
@@ -157,131 +165,138 @@
     }
 }
 
-/// Bytes taken from a socket at a time.
-const CHUNK: usize = 16 << 10;
+/// Bytes read from a socket in one call.
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// How much the two buffers of a connection may hold.
+/// Limits in bytes on the two buffers of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct BufferLimits {
-    /// Bytes that have been read and not yet used.
+    /// Bytes read and not yet consumed.
     pub input: usize,
-    /// Bytes that wait to be written.
+    /// Bytes waiting to be written.
     pub output: usize,
 }
 
-/// A stream with its two buffers. Input beyond its limit and output that nobody reads hold reading back.
+/// A stream with an input and an output buffer. Reading pauses while either buffer is over its limit.
 #[derive(Debug)]
 pub struct Link {
     stream: Stream,
     token: Token,
     interest: Option<Interest>,
-    /// Read and not yet used.
+    /// Bytes read and not yet consumed.
     pub input: Vec<u8>,
     output: Vec<u8>,
-    sent: usize,
-    up: bool,
-    /// The other side has closed its half.
+    written: usize,
+    connected: bool,
+    /// The peer has closed its write half.
     pub peer_closed: bool,
     limits: BufferLimits,
-    /// Reading stopped short of what the socket had: it must be asked anew.
-    held: bool,
-    /// A write has failed: nothing more goes out, but what has come may be unread.
+    /// Reading stopped before the socket was empty, so the stream must be registered again to be reported.
+    rest_unread: bool,
+    /// A write has failed: nothing more can be written, but there may be unread input.
     write_failed: bool,
-    /// Why the connection is to end, as the first to know has said.
+    /// Why the connection is to be closed; the first cause set is kept.
     cause: Option<CloseCause>,
     arrivals: Arrivals,
 }
 
 impl Link {
-    /// A link over a stream on which nothing had come by `empty_at`.
-    fn new(stream: Stream, token: Token, up: bool, limits: BufferLimits, empty_at: ClockReading) -> Link {
+    /// Creates a link over a stream on which nothing had arrived by `empty_at`.
+    fn new(
+        stream: Stream,
+        token: Token,
+        connected: bool,
+        limits: BufferLimits,
+        empty_at: ClockReading,
+    ) -> Link {
         if let Stream::Tcp(stream) = &stream {
             receive::enable_timestamps(stream);
         }
         let (input, output) = (Vec::new(), Vec::new());
-        let (interest, sent, peer_closed) = (None, 0, false);
-        let (held, write_failed) = (false, false);
+        let (interest, written, peer_closed) = (None, 0, false);
+        let (rest_unread, write_failed) = (false, false);
         Link {
             stream,
             token,
             interest,
             input,
             output,
-            sent,
-            up,
+            written,
+            connected,
             peer_closed,
             limits,
-            held,
+            rest_unread,
             write_failed,
             cause: None,
             arrivals: Arrivals::new(empty_at),
         }
     }
 
-    /// The connection's own number.
+    /// The connection's ID.
     pub fn id(&self) -> u64 {
         self.token.0 as u64
     }
 
-    /// Whether the connection stands.
+    /// Whether the connection is established.
     pub fn is_connected(&self) -> bool {
-        self.up
+        self.connected
     }
 
-    /// Says why the connection is to end; the first word counts.
+    /// Sets why the connection is to be closed; the first cause set is kept.
     pub fn set_close_cause(&mut self, cause: CloseCause) {
         self.cause.get_or_insert(cause);
     }
 
-    /// Why it ends, as far as that is known.
+    /// Why the connection closes: the cause that was set, otherwise the one its state implies.
     pub fn close_cause(&self) -> CloseCause {
         match self.cause {
             Some(cause) => cause,
             None if self.write_failed => CloseCause::Broken,
-            None if !self.up => CloseCause::NotConnected,
+            None if !self.connected => CloseCause::NotConnected,
             None if self.peer_closed => CloseCause::Ended,
             None => CloseCause::Finished,
         }
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes waiting to be written.
     pub fn unwritten_bytes(&self) -> usize {
-        self.output.len() - self.sent
+        self.output.len() - self.written
     }
 
-    /// Puts bytes in line to be written.
+    /// Appends bytes to the output buffer.
     pub fn enqueue(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Whether bytes wait to be written of which none has gone to the system.
+    /// Whether there is output of which no byte has been written to the socket.
     pub fn none_written(&self) -> bool {
-        self.sent == 0 && !self.output.is_empty()
+        self.written == 0 && !self.output.is_empty()
     }
 
-    /// Takes back what waits to be written. False where a part of it has gone: the other side has half a message then,
-    /// and nothing more may be written.
+    /// Discards the unwritten output. Returns false if a part of it was already written: the peer then has half a
+    /// message, and nothing more may be written.
     pub fn discard_output(&mut self) -> bool {
-        let whole = self.sent == 0;
-        (self.output, self.sent) = (Vec::new(), 0);
-        whole
+        let complete = self.written == 0;
+        (self.output, self.written) = (Vec::new(), 0);
+        complete
     }
 
-    /// When that byte of the input came which `unused` others follow: what others count from its coming counts from here.
-    pub fn arrived(&self, unused: usize) -> Timestamp {
-        self.arrivals.arrived(unused)
+    /// When the input byte that is followed by `unused` others arrived. Deadlines relative to a message's arrival count
+    /// from this time.
+    pub fn arrival_time(&self, unused: usize) -> Timestamp {
+        self.arrivals.arrival_time(unused)
     }
 
-    /// Drops the first bytes of the input, which have been used.
+    /// Drops the first `count` bytes of the input.
     pub fn consume(&mut self, count: usize) {
         self.input.drain(..count);
-        // Hundreds of connections must not each keep the room of their largest message.
-        if self.input.capacity() > CHUNK + 2 * self.input.len() {
+        // Hundreds of connections must not each keep the capacity of their largest message.
+        if self.input.capacity() > READ_CHUNK_BYTES + 2 * self.input.len() {
             self.input.shrink_to(self.input.len());
         }
     }
 
-    /// Whether input is held back until the other side reads what it is owed.
+    /// Whether reading is paused, because the peer does not read its output or the input buffer is full.
     pub fn is_input_paused(&self) -> bool {
         self.unwritten_bytes() > self.limits.output || self.input.len() > self.limits.input
     }
@@ -291,10 +306,10 @@
         self.write_failed
     }
 
-    /// Writes what the system takes; true once nothing waits.
+    /// Writes as much output as the socket takes; true once none is left.
     ///
     /// # Errors
-    /// The connection is broken; nothing more can be written to it.
+    /// The write failed; nothing more can be written to this connection.
     pub fn flush(&mut self) -> io::Result<bool> {
         let flushed = self.write_out();
         self.write_failed |= flushed.is_err();
@@ -302,46 +317,46 @@
     }
 
     fn write_out(&mut self) -> io::Result<bool> {
-        while self.up && self.sent < self.output.len() {
-            match self.stream.write(&self.output[self.sent..]) {
+        while self.connected && self.written < self.output.len() {
+            match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(n) => self.sent += n,
+                Ok(n) => self.written += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
         }
-        if self.sent == self.output.len() {
+        if self.written == self.output.len() {
             self.output.clear();
-            self.sent = 0;
-            if self.output.capacity() > CHUNK {
+            self.written = 0;
+            if self.output.capacity() > READ_CHUNK_BYTES {
                 self.output.shrink_to(4096);
             }
         }
-        Ok(self.unwritten_bytes() == 0 && self.up)
+        Ok(self.unwritten_bytes() == 0 && self.connected)
     }
 
-    /// Leaves the rest in the socket for now; it is told of again.
-    fn hold(&mut self) {
-        self.held = true;
+    /// Leaves the remaining input in the socket; registering again has the poll report it.
+    fn leave_rest_unread(&mut self) {
+        self.rest_unread = true;
     }
 
-    /// Reads what there is, up to the limit; true if the socket has no more for now.
-    fn fill(&mut self, clock: SystemClock) -> io::Result<bool> {
-        let begun = clock.reading();
+    /// Reads available input up to the buffer's limit; true if the socket is empty.
+    fn fill_input(&mut self, clock: SystemClock) -> io::Result<bool> {
+        let started = clock.reading();
         let filled = self.read_chunks(clock);
-        self.arrivals.note_read_end(begun, matches!(filled, Ok(true)));
+        self.arrivals.note_read_end(started, matches!(filled, Ok(true)));
         filled
     }
 
     fn read_chunks(&mut self, clock: SystemClock) -> io::Result<bool> {
-        let mut chunk = [0u8; CHUNK];
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
             if self.peer_closed {
                 return Ok(true);
             }
             if self.is_input_paused() {
-                self.held = true;
+                self.rest_unread = true;
                 return Ok(false);
             }
             match self.stream.receive(&mut chunk) {
@@ -357,19 +372,19 @@
         }
     }
 
-    /// Tells the system what is waited for now.
+    /// Updates the poll registration to the events that are needed now.
     fn register(&mut self, registry: &Registry) -> io::Result<()> {
-        let wanted = match (self.up, self.unwritten_bytes() > 0) {
+        let wanted = match (self.connected, self.unwritten_bytes() > 0) {
             (false, _) => Interest::WRITABLE,
             (true, true) => Interest::READABLE | Interest::WRITABLE,
             (true, false) => Interest::READABLE,
         };
-        // Events come once a change. Input that was left in the socket is only told of again if asked for.
-        let again = self.held && !self.is_input_paused();
-        if self.interest == Some(wanted) && !again {
+        // Events are edge-triggered: input left in the socket is reported again only after a new registration.
+        let rearm = self.rest_unread && !self.is_input_paused();
+        if self.interest == Some(wanted) && !rearm {
             return Ok(());
         }
-        self.held &= !again;
+        self.rest_unread &= !rearm;
         let (token, first) = (self.token, self.interest.is_none());
         self.interest = Some(wanted);
         if first {
--- a/src/net/momentary.rs
+++ b/src/net/momentary.rs
@@ -1,16 +1,16 @@
-//! Failures of system calls that pass by themselves, as Linux documents them.
+//! Transient errors of system calls, as documented for Linux.
 
 use rustix::io::Errno;
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a process that starts waits for what it needs, and how often it asks.
-const PATIENCE: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(20);
+/// How long a starting process retries an operation that fails with a transient error.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether the same call may well succeed a moment later: descriptors, memory, ports or routes are short, or it was
-/// interrupted. An address that is in use is none of these: it belongs to somebody.
+/// Whether the same call may succeed a moment later: it was interrupted, or descriptors, memory, ports or routes were
+/// unavailable. An address in use does not count: another socket owns it.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
@@ -29,17 +29,17 @@
     )
 }
 
-/// Does what a process needs in order to start, again and again while it fails for a moment. Nothing else is done
-/// meanwhile: this is for processes that do not serve yet.
+/// Repeats an operation while it fails with a transient error. Blocks the thread, so it is only for processes that do
+/// not serve yet.
 ///
 /// # Errors
-/// The last failure, once it is none that passes or the time for retries is over.
-pub fn retry_while_transient<T>(mut what: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let limit = Instant::now() + PATIENCE;
+/// The last error, once it is not transient or the time for retries is over.
+pub fn retry_while_transient<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let limit = Instant::now() + RETRY_TIMEOUT;
     loop {
-        match what() {
-            Err(e) if is_transient(&e) && Instant::now() < limit => thread::sleep(PAUSE),
-            done => return done,
+        match operation() {
+            Err(e) if is_transient(&e) && Instant::now() < limit => thread::sleep(RETRY_INTERVAL),
+            result => return result,
         }
     }
 }
--- a/src/net/momentary/tests.rs
+++ b/src/net/momentary/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_passes_is_waited_for_and_what_stays_is_told_at_once() {
+fn transient_errors_are_retried_and_others_returned_at_once() {
     let mut left = 3;
     let done = retry_while_transient(|| {
         left -= 1;
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -1,4 +1,4 @@
-//! The reactor: one poll, all connections, their timers. Connections are objects that it calls back.
+//! The reactor: one poll that drives all connections and their timers through callbacks.
 
 use super::connection::{Connection, Context, ControlFlow};
 use super::{BufferLimits, ClockReading, Link, Stream, SystemClock};
@@ -15,29 +15,31 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// What woke the reactor beside connections.
+/// A readiness event for anything other than a connection, returned to the reactor's caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wakeup {
-    /// A client has come in at the listener of this number.
+    /// The listener with this number has a pending connection.
     Client(usize),
-    /// The pipe of this number has something.
+    /// The pipe with this number is readable.
     Pipe(usize),
-    /// The UDP socket of this number has something.
+    /// The UDP socket with this number is readable.
     Datagram(usize),
 }
 
 struct Entry {
     link: Link,
     connection: Box<dyn Connection>,
-    due: Option<Timestamp>,
+    /// Time at which the connection is registered in the reactor's timers.
+    timer: Option<Timestamp>,
+    /// The connection closes once its output is written and its peer has closed.
     finishing: bool,
-    shut: bool,
-    /// Bytes that have come and were thrown away since the connection is to end.
-    wasted: usize,
+    write_shut: bool,
+    /// Input bytes discarded since the connection started to finish.
+    discarded: usize,
 }
 
 impl Entry {
-    /// Writes what the system takes; true once nothing waits.
+    /// Writes as much output as the socket takes; true once none is left.
     fn flush(&mut self, context: &mut Context) -> io::Result<bool> {
         if self.link.none_written() {
             self.connection.before_first_byte(&mut self.link, context);
@@ -45,20 +47,20 @@
         self.link.flush()
     }
 
-    /// A dial that has come up is told to the connection.
+    /// Notifies the connection once its connect has succeeded.
     fn open_if_connected(&mut self, context: &mut Context) -> ControlFlow {
-        if self.link.up {
+        if self.link.connected {
             return ControlFlow::Continue;
         }
-        match self.link.stream.connected() {
-            Ok(true) => self.link.up = true,
+        match self.link.stream.is_connected() {
+            Ok(true) => self.link.connected = true,
             Ok(false) => return ControlFlow::Continue,
             Err(_) => return ControlFlow::Close,
         }
         self.connection.opened(&mut self.link, context)
     }
 
-    /// Writes what waits; the connection may put more in line once all has gone.
+    /// Writes pending output; the connection may queue more once all of it has been written.
     fn write_waiting(&mut self, context: &mut Context) -> io::Result<ControlFlow> {
         if self.link.unwritten_bytes() == 0 || !self.flush(context)? {
             return Ok(ControlFlow::Continue);
@@ -66,36 +68,36 @@
         Ok(self.connection.flushed(&mut self.link, context))
     }
 
-    /// Reads until the socket has no more, for it tells of input only once; in turns with the connection's own work
-    /// and with other connections.
+    /// Reads until the socket is empty, because input is reported only once. The connection processes each part before
+    /// the next is read, and a limit per turn keeps other connections from waiting.
     fn read_all(&mut self, mut flow: ControlFlow, context: &mut Context) -> ControlFlow {
-        let mut taken = 0;
+        let mut read = 0;
         loop {
-            let held = self.link.input.len();
-            let filled = self.link.fill(context.clock);
-            // What had come whole before it broke counts, whatever the break is called.
+            let before = self.link.input.len();
+            let filled = self.link.fill_input(context.clock);
+            // Complete messages that arrived before the connection broke are processed, whatever the error is.
             self.link.peer_closed |= filled.is_err();
-            let more = self.link.input.len() - held;
-            taken += more;
+            let added = self.link.input.len() - before;
+            read += added;
             if self.finishing {
-                self.wasted += self.link.input.len();
+                self.discarded += self.link.input.len();
                 self.link.input.clear();
-                if self.wasted > WASTE {
+                if self.discarded > MAX_DISCARDED_BYTES {
                     self.link.set_close_cause(CloseCause::Unreadable);
                     return ControlFlow::Close;
                 }
-            } else if more > 0 || self.link.peer_closed {
+            } else if added > 0 || self.link.peer_closed {
                 flow = flow.and(self.connection.received(&mut self.link, context));
             }
-            let Ok(all) = filled else {
+            let Ok(drained) = filled else {
                 self.link.set_close_cause(CloseCause::Broken);
                 return ControlFlow::Close;
             };
-            if all || flow != ControlFlow::Continue || self.link.is_input_paused() {
+            if drained || flow != ControlFlow::Continue || self.link.is_input_paused() {
                 return flow;
             }
-            if taken > TURN {
-                self.link.hold();
+            if read > MAX_BYTES_PER_TURN {
+                self.link.leave_rest_unread();
                 return flow;
             }
         }
@@ -107,23 +109,24 @@
     Unix(UnixListener),
 }
 
-/// Bytes taken from one connection in one turn of the loop, and those still taken from one that is to end: a
-/// sender at full speed must not keep the others waiting, nor the processor busy with what nobody wants.
-const TURN: usize = 256 << 10;
-const WASTE: usize = 1 << 20;
-/// The longest wait of a poll while there are connections: what a poll tells of came after the one before it had begun, and
-/// where the kernel does not tell when, that is all that is known.
-const MAX_WAIT: Duration = Duration::millis(30);
-/// Events that one poll tells of.
-const EVENTS: usize = 1024;
-/// Output that a connection may always have waiting.
-const CLOGGED: usize = 64 << 10;
-
-pub(super) const PIPES: usize = 1 << 8;
-pub(super) const SOCKETS: usize = 1 << 9;
-const FIRST: usize = 1 << 10;
-
-/// See the module's page.
+/// Bytes read from one connection in one turn of the event loop, so that a fast sender doesn't keep others waiting.
+const MAX_BYTES_PER_TURN: usize = 256 << 10;
+/// Input discarded from a finishing connection before it is closed, so that its sender doesn't keep the processor busy.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// Longest wait of a poll while there are connections. Input that a poll reports arrived after the previous poll
+/// started; without a kernel timestamp, nothing more precise is known.
+const MAX_POLL_WAIT: Duration = Duration::millis(30);
+/// Events that one poll reports.
+const MAX_EVENTS_PER_POLL: usize = 1024;
+/// Unwritten output that a connection may have at any time without being closed as clogged.
+const MIN_CLOGGED_BYTES: usize = 64 << 10;
+
+/// Poll tokens: listeners start at 0, pipes, datagram sockets and connections at these.
+pub(super) const FIRST_PIPE_TOKEN: usize = 1 << 8;
+pub(super) const FIRST_SOCKET_TOKEN: usize = 1 << 9;
+const FIRST_CONNECTION_TOKEN: usize = 1 << 10;
+
+/// Polls listeners, pipes, datagram sockets and connections, and calls connections back.
 pub struct Reactor {
     pub(super) poll: Poll,
     events: Events,
@@ -132,54 +135,54 @@
     pub(super) pipes: Vec<mio::net::UnixStream>,
     pub(super) sockets: Vec<Option<mio::net::UdpSocket>>,
     entries: HashMap<Token, Entry>,
-    next: usize,
+    next_token: usize,
     timers: BTreeSet<(Timestamp, Token)>,
-    /// Connections on which an attempt can be written.
-    proceeding: BTreeSet<Token>,
-    /// Whether the last poll found nothing.
-    quiet: bool,
-    /// When the last poll began that told of all there was: what it did not tell of had not come by then.
+    /// Connections on which an attempt may be writable.
+    writable: BTreeSet<Token>,
+    /// Whether the last poll reported no event.
+    last_poll_empty: bool,
+    /// Start of the last poll that reported all ready sources: whatever it did not report had not arrived by then.
     polled_at: ClockReading,
-    /// When the one before it began: what the last poll told of had not come by then.
+    /// Start of the poll before the last: whatever the last poll reported had not arrived by then.
     arrival_bound: ClockReading,
-    /// Bytes that wait to be written, on all connections together.
-    waiting: usize,
-    /// Beyond so many of them a connection that adds to them is closed, if its other side reads nothing.
+    /// Unwritten bytes of all connections.
+    unwritten_total: usize,
+    /// Above this number of unwritten bytes, a connection that adds to them is closed if its peer does not read.
     pub max_unwritten_bytes: usize,
-    /// Callbacks are handed this; false while the scheduler is not ready.
+    /// Passed to callbacks as [`Context::ready`]; false while the scheduler is not ready.
     pub ready: bool,
-    /// Callbacks are handed this too; false while another daemon is the active one.
+    /// Passed to callbacks as [`Context::active`]; false while another daemon is the active one.
     pub active: bool,
-    /// And this; false while another process takes the clients.
+    /// Passed to callbacks as [`Context::accepting`]; false while another process accepts the clients.
     pub accepting: bool,
-    /// And this; none where there is no fleet.
+    /// Passed to callbacks as [`Context::fleet`]; `None` without a fleet.
     pub fleet: Option<Rc<RefCell<FleetNode>>>,
-    /// And this; none where nothing is distributed.
+    /// Passed to callbacks as [`Context::distribution`]; `None` without a domain.
     pub distribution: Option<Rc<RefCell<DistributionNode>>>,
 }
 
 impl Reactor {
-    /// A reactor without connections.
+    /// Creates a reactor without connections.
     ///
     /// # Errors
-    /// The system gives no poll.
+    /// The poll cannot be created.
     pub fn new(clock: SystemClock) -> io::Result<Reactor> {
         let now = clock.reading();
         Ok(Reactor {
             poll: Poll::new()?,
-            events: Events::with_capacity(EVENTS),
+            events: Events::with_capacity(MAX_EVENTS_PER_POLL),
             clock,
             listeners: vec![],
             pipes: vec![],
             sockets: vec![],
             entries: HashMap::new(),
-            next: FIRST,
+            next_token: FIRST_CONNECTION_TOKEN,
             timers: BTreeSet::new(),
-            proceeding: BTreeSet::new(),
-            quiet: true,
+            writable: BTreeSet::new(),
+            last_poll_empty: true,
             polled_at: now,
             arrival_bound: now,
-            waiting: 0,
+            unwritten_total: 0,
             max_unwritten_bytes: usize::MAX,
             ready: false,
             active: true,
@@ -189,51 +192,53 @@
         })
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Unix time by the wall clock; see [`SystemClock::wall`].
+    /// The wall clock's Unix time; see [`SystemClock::wall`].
     pub fn wall(&self) -> Timestamp {
         self.clock.wall()
     }
 
-    /// Connections that stand or are coming up.
+    /// Number of connections, including those being established.
     pub fn count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Adds a connection; `up` if it stands already. Its id, or none where it broke at once.
+    /// Adds a connection; `connected` if it is already established. Returns its ID, or `None` if it was closed at once.
     pub fn add(
         &mut self,
         stream: Stream,
         connection: Box<dyn Connection>,
-        up: bool,
+        connected: bool,
         limits: BufferLimits,
         core: &mut Core,
     ) -> Option<u64> {
-        let token = Token(self.next);
-        self.next += 1;
-        // A client may have waited to be accepted for as long as its listener was not told of.
-        let link = Link::new(stream, token, up, limits, self.arrival_bound);
-        self.entries
-            .insert(token, Entry { link, connection, due: None, finishing: false, shut: false, wasted: 0 });
-        self.call(token, core, |entry, context| {
-            if entry.link.up {
+        let token = Token(self.next_token);
+        self.next_token += 1;
+        // A client may have been waiting to be accepted, and sending, since before its listener was reported.
+        let link = Link::new(stream, token, connected, limits, self.arrival_bound);
+        self.entries.insert(
+            token,
+            Entry { link, connection, timer: None, finishing: false, write_shut: false, discarded: 0 },
+        );
+        self.invoke(token, core, |entry, context| {
+            if entry.link.connected {
                 entry.connection.opened(&mut entry.link, context)
             } else {
                 ControlFlow::Continue
             }
         });
-        // What has come by now came before this moment, and what comes later is told of when it comes.
-        if up {
+        // Reads input that arrived before the registration; later input is reported by the poll.
+        if connected {
             self.catch_up(token.0 as u64, core);
         }
         self.entries.contains_key(&token).then_some(token.0 as u64)
     }
 
-    /// What callbacks may use now.
+    /// The context for callbacks made now.
     fn context<'a>(&self, core: &'a mut Core) -> Context<'a> {
         Context {
             core,
@@ -247,27 +252,27 @@
         }
     }
 
-    /// Calls a connection back, with panics caught: they end this connection alone.
-    fn call(
+    /// Calls a connection back and acts on the result. A panic in the callback closes this connection alone.
+    fn invoke(
         &mut self,
         token: Token,
         core: &mut Core,
-        what: impl FnOnce(&mut Entry, &mut Context) -> ControlFlow,
+        callback: impl FnOnce(&mut Entry, &mut Context) -> ControlFlow,
     ) {
         let context = &mut self.context(core);
         let Some(entry) = self.entries.get_mut(&token) else { return };
         let before = entry.link.unwritten_bytes();
         let flow = catch_unwind(AssertUnwindSafe(|| {
-            let mut flow = what(entry, context);
-            // What was put in line goes out at once; a connection may put more whenever all has gone.
-            while flow != ControlFlow::Close && entry.link.up && entry.link.unwritten_bytes() > 0 {
+            let mut flow = callback(entry, context);
+            // Output is written at once; the connection may queue more whenever all of it has been written.
+            while flow != ControlFlow::Close && entry.link.connected && entry.link.unwritten_bytes() > 0 {
                 match entry.flush(context) {
                     Ok(true) => flow = flow.and(entry.connection.flushed(&mut entry.link, context)),
                     Ok(false) => break,
                     Err(_) => flow = ControlFlow::Close,
                 }
             }
-            // The other side may have said something before it went, which lies unread.
+            // The peer may have sent something before it closed that is still unread.
             if entry.link.write_failed() {
                 entry.read_all(ControlFlow::Continue, context);
                 flow = ControlFlow::Close;
@@ -281,42 +286,46 @@
             ControlFlow::Close
         });
         let after = entry.link.unwritten_bytes();
-        self.waiting = (self.waiting + after).saturating_sub(before);
-        // Memory is bounded, and so is what those who do not read may hold of it.
-        let clogged = self.waiting > self.max_unwritten_bytes && after > before && after > CLOGGED;
+        self.unwritten_total = (self.unwritten_total + after).saturating_sub(before);
+        // Bounds the memory held by output to peers that do not read.
+        let clogged =
+            self.unwritten_total > self.max_unwritten_bytes && after > before && after > MIN_CLOGGED_BYTES;
         let flow = if clogged { ControlFlow::Close } else { flow };
         if clogged {
             entry.link.set_close_cause(CloseCause::Clogged);
         }
         entry.finishing |= flow == ControlFlow::Finish;
-        // Closed with input unread, the system would throw away what the other side has not read yet: this
-        // half is shut, and the rest waits for the other side's end or the connection's own deadline.
-        if entry.finishing && entry.link.unwritten_bytes() == 0 && !std::mem::replace(&mut entry.shut, true) {
-            entry.link.stream.shut();
+        // If a socket is closed with unread input, the system discards output that the peer has not read yet. So only
+        // the write half is shut down, and the close waits for the peer's close or the connection's deadline.
+        if entry.finishing
+            && entry.link.unwritten_bytes() == 0
+            && !std::mem::replace(&mut entry.write_shut, true)
+        {
+            entry.link.stream.shutdown_write();
         }
-        let done = flow == ControlFlow::Close || entry.shut && entry.link.peer_closed;
+        let done = flow == ControlFlow::Close || entry.write_shut && entry.link.peer_closed;
         if done || entry.link.register(self.poll.registry()).is_err() {
             return self.close(token, context.core);
         }
         if entry.connection.next_attempt(&entry.link).is_some() {
-            self.proceeding.insert(token);
+            self.writable.insert(token);
         }
         let due = entry.connection.deadline();
-        if due != entry.due {
-            if let Some(at) = entry.due.take() {
+        if due != entry.timer {
+            if let Some(at) = entry.timer.take() {
                 self.timers.remove(&(at, token));
             }
             if let Some(at) = due {
                 self.timers.insert((at, token));
             }
-            entry.due = due;
+            entry.timer = due;
         }
     }
 
     fn close(&mut self, token: Token, core: &mut Core) {
         let Some(mut entry) = self.entries.remove(&token) else { return };
-        self.waiting = self.waiting.saturating_sub(entry.link.unwritten_bytes());
-        if let Some(at) = entry.due {
+        self.unwritten_total = self.unwritten_total.saturating_sub(entry.link.unwritten_bytes());
+        if let Some(at) = entry.timer {
             self.timers.remove(&(at, token));
         }
         let (cause, kind, connection) = (entry.link.close_cause(), entry.connection.kind(), token.0);
@@ -330,7 +339,7 @@
         let _ = self.poll.registry().deregister(entry.link.stream.source());
     }
 
-    /// Ends a connection from outside.
+    /// Closes a connection that another one replaces.
     pub fn close_replaced(&mut self, id: u64, core: &mut Core) {
         self.close_for(Token(id as usize), CloseCause::Replaced, core);
     }
@@ -342,58 +351,62 @@
         self.close(token, core);
     }
 
-    /// Gives a connection something to do; false if it has gone.
+    /// Calls back a connection with a closure; false if the connection no longer exists.
     pub fn with_connection(
         &mut self,
         id: u64,
         core: &mut Core,
-        what: impl FnOnce(&mut dyn Connection, &mut Link, &mut Context) -> ControlFlow,
+        callback: impl FnOnce(&mut dyn Connection, &mut Link, &mut Context) -> ControlFlow,
     ) -> bool {
         let token = Token(id as usize);
-        let there = self.entries.contains_key(&token);
-        self.call(token, core, |entry, context| what(entry.connection.as_mut(), &mut entry.link, context));
-        there
+        let exists = self.entries.contains_key(&token);
+        self.invoke(token, core, |entry, context| {
+            callback(entry.connection.as_mut(), &mut entry.link, context)
+        });
+        exists
     }
 
-    /// Looks at a connection.
-    pub fn inspect<T>(&self, id: u64, at: impl FnOnce(&dyn Connection) -> T) -> Option<T> {
-        self.entries.get(&Token(id as usize)).map(|entry| at(entry.connection.as_ref()))
+    /// Reads something from a connection; `None` if it no longer exists.
+    pub fn inspect<T>(&self, id: u64, look: impl FnOnce(&dyn Connection) -> T) -> Option<T> {
+        self.entries.get(&Token(id as usize)).map(|entry| look(entry.connection.as_ref()))
     }
 
-    /// All connections.
+    /// IDs of all connections.
     pub fn ids(&self) -> Vec<u64> {
         self.entries.keys().map(|token| token.0 as u64).collect()
     }
 
-    /// Whether a request is half read on any connection, or may still come on a new one.
+    /// Whether a part of a request has been received on any connection, or a first one may still arrive on a new
+    /// connection.
     pub fn may_receive_request(&self) -> bool {
         self.entries.values().any(|entry| entry.connection.may_receive_request())
     }
 
-    /// Whether any connection still has something to write.
+    /// Whether any established connection has unwritten output.
     pub fn has_unwritten_output(&self) -> bool {
-        self.entries.values().any(|entry| entry.link.up && entry.link.unwritten_bytes() > 0)
+        self.entries.values().any(|entry| entry.link.connected && entry.link.unwritten_bytes() > 0)
     }
 
-    /// Waits until something happens or `until` comes, calls connections back, and returns the rest.
+    /// Waits for an event, or until `until`; calls connections and expired timers back, and returns the other events.
     ///
     /// # Errors
-    /// The wait failed for another reason than a signal.
+    /// The poll failed for a reason other than a signal.
     pub fn poll_once(&mut self, until: Option<Timestamp>, core: &mut Core) -> io::Result<Vec<Wakeup>> {
         let due = self.timers.first().map(|(at, _)| *at).into_iter().chain(until).min();
-        let begun = self.clock.reading();
-        // Rounded up, so that a timer is not asked for a little early again and again.
-        let rest = due.map(|at| Duration((at - begun.own).0 + 50_000));
-        let rest = if self.entries.is_empty() {
-            rest
+        let started = self.clock.reading();
+        // Rounded up, so that the poll doesn't return repeatedly just before a timer expires.
+        let timeout = due.map(|at| Duration((at - started.process_time).0 + 50_000));
+        let timeout = if self.entries.is_empty() {
+            timeout
         } else {
-            Some(rest.map_or(MAX_WAIT, |rest| rest.min(MAX_WAIT)))
+            Some(timeout.map_or(MAX_POLL_WAIT, |timeout| timeout.min(MAX_POLL_WAIT)))
         };
-        self.quiet = false;
-        let polled =
-            self.poll.poll(&mut self.events, rest.map(|rest| std::time::Duration::from_nanos(rest.0)));
+        self.last_poll_empty = false;
+        let polled = self
+            .poll
+            .poll(&mut self.events, timeout.map(|timeout| std::time::Duration::from_nanos(timeout.0)));
         match polled {
-            // It has told of nothing: what has come meanwhile is found by the next one.
+            // It reported no event; the next poll reports what has arrived meanwhile.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(vec![]),
             other => other?,
         }
@@ -404,68 +417,71 @@
             .map(|e| (e.token(), e.is_readable() || e.is_error(), e.is_read_closed()))
             .collect();
         self.arrival_bound = self.polled_at;
-        if ready.len() < EVENTS {
-            self.polled_at = begun;
+        if ready.len() < MAX_EVENTS_PER_POLL {
+            self.polled_at = started;
         }
-        self.quiet = ready.is_empty();
-        for (token, readable, ended) in ready {
+        self.last_poll_empty = ready.is_empty();
+        for (token, readable, peer_closed) in ready {
             match token.0 {
-                number if number < PIPES => signals.push(Wakeup::Client(number)),
-                number if (SOCKETS..FIRST).contains(&number) => {
-                    signals.push(Wakeup::Datagram(number - SOCKETS));
+                number if number < FIRST_PIPE_TOKEN => signals.push(Wakeup::Client(number)),
+                number if (FIRST_SOCKET_TOKEN..FIRST_CONNECTION_TOKEN).contains(&number) => {
+                    signals.push(Wakeup::Datagram(number - FIRST_SOCKET_TOKEN));
                 }
-                number if number < FIRST => {
-                    self.empty(number - PIPES);
-                    signals.push(Wakeup::Pipe(number - PIPES));
+                number if number < FIRST_CONNECTION_TOKEN => {
+                    self.drain_pipe(number - FIRST_PIPE_TOKEN);
+                    signals.push(Wakeup::Pipe(number - FIRST_PIPE_TOKEN));
                 }
-                // Whose input is held back would not be heard to close: who reads nothing and writes nothing
-                // more has gone.
-                _ if ended && self.entries.get(&token).is_some_and(|entry| entry.link.is_input_paused()) => {
+                // With input paused, the close would not be read from the stream. A peer that neither reads nor writes
+                // any more has gone.
+                _ if peer_closed
+                    && self.entries.get(&token).is_some_and(|entry| entry.link.is_input_paused()) =>
+                {
                     self.close_for(token, CloseCause::Ended, core);
                 }
-                _ => self.happened(token, readable || ended, self.arrival_bound, core),
+                _ => self.handle_ready(token, readable || peer_closed, self.arrival_bound, core),
             }
         }
         let now = self.clock.now();
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, token));
             if let Some(entry) = self.entries.get_mut(&token) {
-                entry.due = None;
+                entry.timer = None;
             }
-            // What came before the time was up counts, also where this loop is late to read it.
+            // Input that arrived before the timer expired counts, even if the event loop is late to read it.
             self.catch_up(token.0 as u64, core);
             let due = |entry: &mut Entry, context: &mut Context| match entry.connection.deadline() {
                 Some(at) if at <= context.now => entry.connection.on_timeout(&mut entry.link, context),
                 _ => ControlFlow::Continue,
             };
-            self.call(token, core, due);
+            self.invoke(token, core, due);
         }
         Ok(signals)
     }
 
-    /// What this turn's poll told of had not come by then.
+    /// Lower bound on the arrival of whatever this turn's poll reported: it had not arrived by then.
     pub fn arrival_bound(&self) -> ClockReading {
         self.arrival_bound
     }
 
-    /// What comes in for the rest of this turn may have waited since then.
+    /// Lowers the arrival bound for the rest of this turn, because what is accepted now may have been waiting since
+    /// then.
     pub fn lower_arrival_bound(&mut self, since: ClockReading) {
-        if since.own < self.arrival_bound.own {
+        if since.process_time < self.arrival_bound.process_time {
             self.arrival_bound = since;
         }
     }
 
-    /// Reads what has come on a connection, without waiting for the poll to tell of it.
+    /// Reads a connection's input without waiting for the poll to report it.
     pub fn catch_up(&mut self, id: u64, core: &mut Core) {
         let token = Token(id as usize);
-        if self.entries.get(&token).is_some_and(|entry| entry.link.up) {
-            self.happened(token, true, self.polled_at, core);
+        if self.entries.get(&token).is_some_and(|entry| entry.link.connected) {
+            self.handle_ready(token, true, self.polled_at, core);
         }
     }
 
-    /// The next connection on which an attempt can be written, and the attempt.
+    /// The next connection on which an attempt can be written, with the attempt.
     pub fn next_attempt(&mut self) -> Option<(u64, AttemptId)> {
-        while let Some(token) = self.proceeding.pop_first() {
+        while let Some(token) = self.writable.pop_first() {
             let Some(entry) = self.entries.get(&token) else { continue };
             if let Some(attempt) = entry.connection.next_attempt(&entry.link) {
                 return Some((token.0 as u64, attempt));
@@ -474,12 +490,12 @@
         None
     }
 
-    /// Whether the last turn found nothing that had come.
+    /// Whether the last poll reported no event.
     pub fn last_poll_was_empty(&self) -> bool {
-        self.quiet
+        self.last_poll_empty
     }
 
-    fn empty(&mut self, pipe: usize) {
+    fn drain_pipe(&mut self, pipe: usize) {
         let mut bytes = [0; 64];
         let Some(pipe) = self.pipes.get_mut(pipe) else { return };
         loop {
@@ -491,12 +507,12 @@
         }
     }
 
-    /// Something may be done on a connection, on which nothing had come by `empty_at` that was not read.
-    fn happened(&mut self, token: Token, readable: bool, empty_at: ClockReading, core: &mut Core) {
-        self.call(token, core, |entry, context| {
-            entry.link.arrivals.note_nothing_told(empty_at);
+    /// Handles a connection that may be ready, on which no unread input had arrived by `empty_at`.
+    fn handle_ready(&mut self, token: Token, readable: bool, empty_at: ClockReading, core: &mut Core) {
+        self.invoke(token, core, |entry, context| {
+            entry.link.arrivals.note_no_event(empty_at);
             let opened = entry.open_if_connected(context);
-            if opened != ControlFlow::Continue || !entry.link.up {
+            if opened != ControlFlow::Continue || !entry.link.connected {
                 return opened;
             }
             let Ok(flow) = entry.write_waiting(context) else { return ControlFlow::Close };
@@ -504,9 +520,8 @@
         });
     }
 
-    /// Closes the connection that has had nothing open for longest, if there is one: whoever will use it again
-    /// has most likely done so before. One on which something has come that is still to be read is not idle, and one
-    /// with half a request goes after all others.
+    /// Closes the connection that has been idle longest, as the least likely to be used again; false if none is idle. A
+    /// connection with unread input is not idle, and one with a part of a request is closed only after all others.
     pub fn close_longest_idle(&mut self, core: &mut Core) -> bool {
         for _ in 0..self.entries.len() {
             let rank = |entry: &Entry| {
@@ -518,7 +533,7 @@
             if self.entries.get(&token).and_then(rank) == Some(before) {
                 self.close_for(token, CloseCause::MadeRoom, core);
             }
-            // Gone by itself makes room as well.
+            // A connection that closed by itself frees a descriptor as well.
             if !self.entries.contains_key(&token) {
                 return true;
             }
@@ -526,7 +541,7 @@
         false
     }
 
-    /// A span as the reactor's own absolute time.
+    /// The time that is `span` from now.
     pub fn after(&self, span: Duration) -> Timestamp {
         self.now() + span
     }
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -3,28 +3,28 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream as StdUnixStream;
 
-/// Echoes, and panics at an `!`.
-struct Fragile;
+/// Echoes its input, and panics at an `!`.
+struct EchoOrPanic;
 
-impl Connection for Fragile {
+impl Connection for EchoOrPanic {
     fn kind(&self) -> &'static str {
         "test"
     }
 
-    fn opened(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn opened(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    fn received(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn received(&mut self, link: &mut Link, _context: &mut Context) -> ControlFlow {
         let bytes = std::mem::take(&mut link.input);
-        assert!(!bytes.contains(&b'!'), "as the test wants");
+        assert!(!bytes.contains(&b'!'), "the panic that the test provokes");
         link.enqueue(&bytes);
         ControlFlow::Continue
     }
-    fn closed(&mut self, _link: &Link, _hub: &mut Context) {}
+    fn closed(&mut self, _link: &Link, _context: &mut Context) {}
 }
 
-/// A scheduler without classes, and a reactor without connections.
-fn parts() -> (Core, Reactor) {
+/// A core without classes, and a reactor without connections.
+fn core_and_reactor() -> (Core, Reactor) {
     let site = br#"{"fleetSize": 1, "index": 0, "classes": [], "bounds": {"mostTries": 1},
         "contract": {"coldFrom": 1, "coldNs": 1, "fallMultiple": 1, "fallNs": 1},
         "familyInfo": {"keepNs": 1, "notLoaded": "load", "loadSpanNs": 0}}"#;
@@ -33,36 +33,38 @@
     (core, reactor)
 }
 
-/// Whoever reads nothing must not hold memory without bound.
+/// A peer that does not read must not use unbounded memory.
 #[test]
-fn output_beyond_the_limit_ends_the_connection_that_adds_to_it() {
-    let (mut core, mut reactor) = parts();
+fn output_above_the_limit_closes_the_connection_that_adds_to_it() {
+    let (mut core, mut reactor) = core_and_reactor();
     reactor.max_unwritten_bytes = 8 << 20;
     let (near, _far) = StdUnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     let stream = Stream::Unix(UnixStream::from_std(near));
     let id = reactor
-        .add(stream, Box::new(Fragile), true, BufferLimits { input: 100, output: usize::MAX }, &mut core)
+        .add(stream, Box::new(EchoOrPanic), true, BufferLimits { input: 100, output: usize::MAX }, &mut core)
         .unwrap();
     let mut put = |bytes: usize| {
         reactor.with_connection(id, &mut core, |_, link, _| {
             link.enqueue(&vec![0; bytes]);
             ControlFlow::Continue
         });
-        (reactor.count(), reactor.waiting > 0)
+        (reactor.count(), reactor.unwritten_total > 0)
     };
     assert_eq!(put(7 << 20), (1, true));
     assert_eq!(put(7 << 20), (0, false));
 }
 
 #[test]
-fn a_panic_ends_its_connection_and_no_other() {
-    let (mut core, mut reactor) = parts();
+fn a_panic_closes_its_connection_and_no_other() {
+    let (mut core, mut reactor) = core_and_reactor();
     let mut add = |core: &mut Core| {
         let (near, far) = StdUnixStream::pair().unwrap();
         near.set_nonblocking(true).unwrap();
         let stream = Stream::Unix(UnixStream::from_std(near));
-        reactor.add(stream, Box::new(Fragile), true, BufferLimits { input: 100, output: 100 }, core).unwrap();
+        reactor
+            .add(stream, Box::new(EchoOrPanic), true, BufferLimits { input: 100, output: 100 }, core)
+            .unwrap();
         far
     };
     let (mut first, mut second) = (add(&mut core), add(&mut core));
@@ -72,31 +74,31 @@
         reactor.poll_once(None, &mut core).unwrap();
     }
     let mut byte = [0];
-    assert_eq!(first.read(&mut byte).unwrap(), 0, "ended");
+    assert_eq!(first.read(&mut byte).unwrap(), 0, "closed");
     let soon = Some(reactor.after(Duration::millis(100)));
     reactor.poll_once(soon, &mut core).unwrap();
     second.read_exact(&mut byte).unwrap();
     assert_eq!((byte, core.counters().panics), ([b'x'], 1));
 }
 
-/// Writes to another connection's far end when its own time comes.
-struct Writer(Option<Timestamp>, StdUnixStream);
+/// Writes to another connection's far end when its deadline is reached.
+struct WritesAtDeadline(Option<Timestamp>, StdUnixStream);
 
-/// Ends at its time if nothing has come before.
-struct Idle(Option<Timestamp>, Rc<RefCell<Vec<&'static str>>>);
+/// Closes at its deadline if no input has arrived before.
+struct ClosesAtDeadline(Option<Timestamp>, Rc<RefCell<Vec<&'static str>>>);
 
-impl Connection for Writer {
+impl Connection for WritesAtDeadline {
     fn kind(&self) -> &'static str {
         "test"
     }
 
-    fn opened(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn opened(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    fn received(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn received(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    fn on_timeout(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn on_timeout(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         self.0 = None;
         self.1.write_all(b"x").unwrap();
         ControlFlow::Continue
@@ -104,43 +106,44 @@
     fn deadline(&self) -> Option<Timestamp> {
         self.0
     }
-    fn closed(&mut self, _link: &Link, _hub: &mut Context) {}
+    fn closed(&mut self, _link: &Link, _context: &mut Context) {}
 }
 
-impl Connection for Idle {
+impl Connection for ClosesAtDeadline {
     fn kind(&self) -> &'static str {
         "test"
     }
 
-    fn opened(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn opened(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    fn received(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn received(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         self.0 = None;
         self.1.borrow_mut().push("read");
         ControlFlow::Continue
     }
-    fn on_timeout(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn on_timeout(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Close
     }
     fn deadline(&self) -> Option<Timestamp> {
         self.0
     }
-    fn closed(&mut self, _link: &Link, _hub: &mut Context) {
+    fn closed(&mut self, _link: &Link, _context: &mut Context) {
         self.1.borrow_mut().push("closed");
     }
 }
 
-/// Something comes on a connection after the poll and before its time, in the same turn: it is read, and counts.
+/// Input arrives on a connection after the poll and before the connection's deadline, in the same turn: it is read
+/// first.
 #[test]
-fn what_came_before_the_time_was_up_is_read_first() {
-    let (mut core, mut reactor) = parts();
+fn input_that_arrived_before_a_deadline_is_read_first() {
+    let (mut core, mut reactor) = core_and_reactor();
     let now = reactor.now();
     let log = Rc::new(RefCell::new(vec![]));
     let (near, far) = StdUnixStream::pair().unwrap();
     let (other, _far) = StdUnixStream::pair().unwrap();
-    let writer: Box<dyn Connection> = Box::new(Writer(Some(now), far));
-    let idle: Box<dyn Connection> = Box::new(Idle(Some(now + Duration(1)), log.clone()));
+    let writer: Box<dyn Connection> = Box::new(WritesAtDeadline(Some(now), far));
+    let idle: Box<dyn Connection> = Box::new(ClosesAtDeadline(Some(now + Duration(1)), log.clone()));
     for (stream, connection) in [(other, writer), (near, idle)] {
         stream.set_nonblocking(true).unwrap();
         let stream = Stream::Unix(UnixStream::from_std(stream));
@@ -150,35 +153,35 @@
     assert_eq!(*log.borrow(), ["read"]);
 }
 
-/// Says what it has heard, and counts ends.
-struct Listener(std::rc::Rc<std::cell::RefCell<Vec<u8>>>);
+/// Records its input, and a `.` when it is closed.
+struct InputRecorder(std::rc::Rc<std::cell::RefCell<Vec<u8>>>);
 
-impl Connection for Listener {
+impl Connection for InputRecorder {
     fn kind(&self) -> &'static str {
         "test"
     }
 
-    fn opened(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn opened(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    fn received(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn received(&mut self, link: &mut Link, _context: &mut Context) -> ControlFlow {
         self.0.borrow_mut().append(&mut link.input);
         ControlFlow::Continue
     }
-    fn closed(&mut self, _link: &Link, _hub: &mut Context) {
+    fn closed(&mut self, _link: &Link, _context: &mut Context) {
         self.0.borrow_mut().push(b'.');
     }
 }
 
-/// What the other side had said before it went is heard though the first to notice its end is a write.
+/// What a peer sent before it closed is read even if a failed write is the first sign of the close.
 #[test]
-fn a_failed_write_leaves_nothing_unread() {
-    let (mut core, mut reactor) = parts();
+fn input_is_read_after_a_failed_write() {
+    let (mut core, mut reactor) = core_and_reactor();
     let (near, mut far) = StdUnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     let stream = Stream::Unix(UnixStream::from_std(near));
-    let heard = std::rc::Rc::default();
-    let listener = Box::new(Listener(std::rc::Rc::clone(&heard)));
+    let received_bytes = std::rc::Rc::default();
+    let listener = Box::new(InputRecorder(std::rc::Rc::clone(&received_bytes)));
     let id =
         reactor.add(stream, listener, true, BufferLimits { input: 100, output: 100 }, &mut core).unwrap();
     far.write_all(b"last word").unwrap();
@@ -188,50 +191,50 @@
         ControlFlow::Continue
     };
     reactor.with_connection(id, &mut core, put);
-    assert_eq!(heard.borrow().as_slice(), b"last word.");
+    assert_eq!(received_bytes.borrow().as_slice(), b"last word.");
     assert_eq!(reactor.count(), 0);
 }
 
-/// Notes when each of its bytes came.
-struct Clocked(Rc<RefCell<Vec<Timestamp>>>);
+/// Records the arrival time of each of its bytes.
+struct ArrivalRecorder(Rc<RefCell<Vec<Timestamp>>>);
 
-impl Connection for Clocked {
+impl Connection for ArrivalRecorder {
     fn kind(&self) -> &'static str {
         "test"
     }
 
-    fn opened(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn opened(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
-    fn received(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn received(&mut self, link: &mut Link, _context: &mut Context) -> ControlFlow {
         for unused in (0..link.input.len()).rev() {
-            self.0.borrow_mut().push(link.arrived(unused));
+            self.0.borrow_mut().push(link.arrival_time(unused));
         }
         link.input.clear();
         ControlFlow::Continue
     }
-    fn closed(&mut self, _link: &Link, _hub: &mut Context) {}
+    fn closed(&mut self, _link: &Link, _context: &mut Context) {}
 }
 
-/// How far the time that counts may lie from that at which a byte was written.
+/// How far the recorded arrival time of a byte may be from the time at which it was written.
 struct Tolerance {
     early: Duration,
     late: Duration,
 }
 
-/// The process stands still before and after a byte comes.
-fn arrives_in_time(stream: Stream, mut far: impl Write, tolerance: &Tolerance) {
-    let (mut core, mut reactor) = parts();
+/// Suspends the event loop before and after each byte is sent, and checks the recorded arrival times.
+fn assert_arrival_times(stream: Stream, mut far: impl Write, tolerance: &Tolerance) {
+    let (mut core, mut reactor) = core_and_reactor();
     let arrived = Rc::default();
-    let connection = Box::new(Clocked(Rc::clone(&arrived)));
+    let connection = Box::new(ArrivalRecorder(Rc::clone(&arrived)));
     reactor.add(stream, connection, true, BufferLimits { input: 100, output: 100 }, &mut core).unwrap();
     for _ in 0..3 {
         reactor.poll_once(Some(reactor.now()), &mut core).unwrap();
-        std::thread::sleep(STOP);
+        std::thread::sleep(SUSPENSION);
         let before = reactor.now();
         far.write_all(b"x").unwrap();
         let written = reactor.now();
-        std::thread::sleep(STOP);
+        std::thread::sleep(SUSPENSION);
         while arrived.borrow().is_empty() {
             reactor.poll_once(None, &mut core).unwrap();
         }
@@ -250,36 +253,37 @@
     (Stream::Tcp(mio::net::TcpStream::from_std(near)), far)
 }
 
-/// Longer than any two looks of a process that runs are apart.
-const STOP: std::time::Duration = std::time::Duration::from_millis(150);
-/// The kernel's time of TCP bytes is right to far less. Early it may be by a pause of the process between its looks at two
-/// clocks.
-const STAMPED: Tolerance = Tolerance { early: Duration::millis(100), late: Duration::millis(2) };
+/// Longer than the interval between two polls of a running process.
+const SUSPENSION: std::time::Duration = std::time::Duration::from_millis(150);
+/// The kernel's timestamp is far more exact than this. It may come out too early by a pause of the process between its
+/// reads of the two clocks.
+const TIMESTAMP_TOLERANCE: Tolerance = Tolerance { early: Duration::millis(100), late: Duration::millis(2) };
 
-/// A stop between two polls, however long the one after it takes beside other processes.
+/// The event loop is suspended between two polls, and the poll after it may take long on a busy machine.
 #[test]
-fn what_came_while_the_process_stood_still_counts_from_when_it_came() {
+fn tcp_input_that_arrives_while_the_process_is_suspended_has_its_arrival_time() {
     let (near, far) = tcp_pair();
-    arrives_in_time(near, far, &STAMPED);
+    assert_arrival_times(near, far, &TIMESTAMP_TOLERANCE);
 }
 
-/// Unix streams tell no times: what may have come long ago counts from the last look.
+/// Unix streams have no timestamps: input that may have arrived long ago counts from when the socket was last known to
+/// be empty.
 #[test]
-fn what_came_over_unix_while_the_process_stood_still_counts_from_the_last_look() {
+fn unix_input_that_arrives_while_the_process_is_suspended_counts_from_when_the_socket_was_empty() {
     let (near, far) = StdUnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     let near = Stream::Unix(UnixStream::from_std(near));
-    arrives_in_time(near, far, &Tolerance { early: Duration::millis(1_000), late: Duration(0) });
+    assert_arrival_times(near, far, &Tolerance { early: Duration::millis(1_000), late: Duration(0) });
 }
 
-/// Input is held back while its client reads no answers: what comes meanwhile counts from when it came, not from when reading
-/// stopped.
+/// Reading is paused while a client does not read its answers: input that arrives meanwhile has its arrival time, not
+/// the time at which reading was paused.
 #[test]
-fn input_that_was_held_back_counts_from_when_it_came() {
-    let (mut core, mut reactor) = parts();
+fn input_that_arrives_while_reading_is_paused_has_its_arrival_time() {
+    let (mut core, mut reactor) = core_and_reactor();
     let (near, mut far) = tcp_pair();
     let arrived = Rc::default();
-    let connection = Box::new(Clocked(Rc::clone(&arrived)));
+    let connection = Box::new(ArrivalRecorder(Rc::clone(&arrived)));
     let limits = BufferLimits { input: 100, output: 1000 };
     let id = reactor.add(near, connection, true, limits, &mut core).unwrap();
     reactor.with_connection(id, &mut core, |_, link, _| {
@@ -295,7 +299,7 @@
             reactor.poll_once(Some(until), &mut core).unwrap();
         }
     }
-    assert!(arrived.borrow().is_empty(), "it is held back");
+    assert!(arrived.borrow().is_empty(), "reading is paused");
     let reader = std::thread::spawn(move || {
         far.read_exact(&mut vec![0; 16 << 20]).unwrap();
         far
@@ -304,8 +308,8 @@
         reactor.poll_once(None, &mut core).unwrap();
     }
     let (first, second) = (arrived.borrow()[0], arrived.borrow()[1]);
-    assert!(first <= written[0] + STAMPED.late, "{} ns late", (first - written[0]).0);
-    assert!(second <= written[1] + STAMPED.late, "{} ns late", (second - written[1]).0);
-    assert!(second + STAMPED.early >= written[1], "{} ns early", (written[1] - second).0);
+    assert!(first <= written[0] + TIMESTAMP_TOLERANCE.late, "{} ns late", (first - written[0]).0);
+    assert!(second <= written[1] + TIMESTAMP_TOLERANCE.late, "{} ns late", (second - written[1]).0);
+    assert!(second + TIMESTAMP_TOLERANCE.early >= written[1], "{} ns early", (written[1] - second).0);
     drop(reader.join().unwrap());
 }
--- a/src/net/receive.rs
+++ b/src/net/receive.rs
@@ -1,4 +1,4 @@
-//! Reads from TCP streams, with the time at which the kernel received what is read.
+//! Reads from TCP streams with the kernel's receive timestamps.
 
 use crate::interface::Timestamp;
 use mio::net::TcpStream;
@@ -8,16 +8,16 @@
 use std::io::{self, IoSliceMut};
 use std::os::fd::{AsFd, AsRawFd};
 
-/// Asks the kernel to tell when it received what is read from a socket, or from those that a listener accepts. Without it
-/// [`receive`] works all the same.
+/// Enables receive timestamps on a socket, or on the sockets that a listener accepts. If it fails, [`receive`] still
+/// works, without timestamps.
 pub fn enable_timestamps(socket: &impl AsFd) {
     if let Err(error) = setsockopt(socket, ReceiveTimestampns, &true) {
         tracing::debug!(why = %error, "no receive timestamps");
     }
 }
 
-/// Reads what there is, up to the buffer's size: how many bytes, and when the last of them came by the wall clock, if the
-/// kernel tells.
+/// Reads available bytes, up to the buffer's size. Returns their number and, if the kernel supplies it, the wall-clock
+/// time at which the last of them was received.
 ///
 /// # Errors
 /// As `recvmsg(2)`.
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,7 +1,7 @@
-//! The reactor's listeners, pipes and datagram sockets, and the connections that it begins.
+//! The reactor's listeners, pipes, datagram sockets and outgoing connections.
 
 use super::Stream;
-use super::reactor::{Listener, PIPES, Reactor, SOCKETS};
+use super::reactor::{FIRST_PIPE_TOKEN, FIRST_SOCKET_TOKEN, Listener, Reactor};
 use super::receive::enable_timestamps;
 use mio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use mio::{Interest, Token};
@@ -10,24 +10,25 @@
 use std::os::unix::net::UnixStream as StdUnixStream;
 use std::path::Path;
 
-/// Receives of one datagram that may fail before others have their turn.
-const FAILED_RECEIVES: usize = 16;
-/// Datagrams taken from one socket in one turn of the loop: a flood must not keep requests waiting.
+/// Failed receives on one datagram socket before other sockets have their turn.
+const MAX_FAILED_RECEIVES: usize = 16;
+/// Datagrams received from one socket in one turn of the event loop, so that a flood doesn't keep requests waiting.
 pub const MAX_DATAGRAMS_PER_TURN: usize = 256;
 
 impl Reactor {
-    /// Listens on a TCP address; the listener's number, and the address with its port where any would do.
+    /// Listens on a TCP address. Returns the listener's number and the address, with the port that was assigned if it
+    /// was 0.
     ///
     /// # Errors
-    /// The address cannot be bound, or the listener not be watched.
+    /// The address cannot be bound, or the listener not be registered with the poll.
     pub fn listen(&mut self, at: SocketAddr) -> io::Result<(usize, SocketAddr)> {
         let listener = TcpListener::bind(at)?;
         let at = listener.local_addr()?;
         Ok((self.add_listener(Listener::Tcp(listener))?, at))
     }
 
-    /// A TCP socket that others may share: its number, and its address. Clients are taken from it once
-    /// [`Reactor::set_accepting`] says so.
+    /// Adds a listening TCP socket that other processes may share, and returns its number and address. No client is
+    /// accepted from it before [`Reactor::set_accepting`].
     ///
     /// # Errors
     /// The listener cannot be made non-blocking, or has no address.
@@ -40,24 +41,24 @@
         Ok((number, at))
     }
 
-    /// Whether clients are taken from a listener. Those that come meanwhile wait in the system, where whoever
-    /// shares the socket may take them.
+    /// Sets whether clients are accepted from a listener. While they are not, they wait in the kernel's queue, from
+    /// which another process that shares the socket may accept them.
     ///
     /// # Errors
-    /// The poll refuses the change; the listener stays as it was.
-    pub fn set_accepting(&mut self, listener: usize, taken: bool) -> io::Result<()> {
+    /// The poll registration cannot be changed; the listener stays as it was.
+    pub fn set_accepting(&mut self, listener: usize, accept: bool) -> io::Result<()> {
         let registry = self.poll.registry();
-        match (self.listeners.get_mut(listener).and_then(Option::as_mut), taken) {
+        match (self.listeners.get_mut(listener).and_then(Option::as_mut), accept) {
             (Some(Listener::Tcp(l)), true) => registry.register(l, Token(listener), Interest::READABLE),
             (Some(Listener::Tcp(l)), false) => registry.deregister(l),
             _ => Ok(()),
         }
     }
 
-    /// Listens on a Unix socket that has been made; the listener's number.
+    /// Adds a bound Unix listener and returns its number.
     ///
     /// # Errors
-    /// The listener cannot be made non-blocking, or not be watched.
+    /// The listener cannot be made non-blocking, or not be registered with the poll.
     pub fn listen_unix(&mut self, listener: std::os::unix::net::UnixListener) -> io::Result<usize> {
         listener.set_nonblocking(true)?;
         self.add_listener(Listener::Unix(UnixListener::from_std(listener)))
@@ -68,7 +69,7 @@
         let registry = self.poll.registry();
         match &mut listener {
             Listener::Tcp(l) => {
-                // Whoever is accepted may have sent something before.
+                // A client may send before it is accepted; accepted sockets inherit the option.
                 enable_timestamps(l);
                 registry.register(l, Token(number), Interest::READABLE)?;
             }
@@ -78,7 +79,7 @@
         Ok(number)
     }
 
-    /// Listens there no longer.
+    /// Closes a listener.
     pub fn close_listener(&mut self, listener: usize) {
         let gone = self.listeners.get_mut(listener).and_then(Option::take);
         let _ = match gone {
@@ -88,47 +89,48 @@
         };
     }
 
-    /// Watches the reading end of a pipe; its number.
+    /// Watches the read end of a pipe, and returns its number.
     ///
     /// # Errors
-    /// The pipe cannot be made non-blocking, or not be watched.
+    /// The pipe cannot be made non-blocking, or not be registered with the poll.
     pub fn watch(&mut self, pipe: StdUnixStream) -> io::Result<usize> {
         pipe.set_nonblocking(true)?;
         let mut pipe = UnixStream::from_std(pipe);
         let number = self.pipes.len();
-        self.poll.registry().register(&mut pipe, Token(PIPES + number), Interest::READABLE)?;
+        self.poll.registry().register(&mut pipe, Token(FIRST_PIPE_TOKEN + number), Interest::READABLE)?;
         self.pipes.push(pipe);
         Ok(number)
     }
 
-    /// Hears datagrams at an address; the socket's number, and the address with its port.
+    /// Binds a UDP socket. Returns its number and the address, with the port that was assigned if it was 0.
     ///
     /// # Errors
-    /// The address cannot be bound, or the socket not be watched.
+    /// The address cannot be bound, or the socket not be registered with the poll.
     pub fn bind_datagram_socket(&mut self, at: SocketAddr) -> io::Result<(usize, SocketAddr)> {
         let mut socket = mio::net::UdpSocket::bind(at)?;
         let (number, at) = (self.sockets.len(), socket.local_addr()?);
-        self.poll.registry().register(&mut socket, Token(SOCKETS + number), Interest::READABLE)?;
+        self.poll.registry().register(&mut socket, Token(FIRST_SOCKET_TOKEN + number), Interest::READABLE)?;
         self.sockets.push(Some(socket));
         Ok((number, at))
     }
 
-    /// Hears nothing there any more: its address is free for others.
+    /// Closes a datagram socket, which frees its address.
     pub fn close_datagram_socket(&mut self, socket: usize) {
         if let Some(mut socket) = self.sockets.get_mut(socket).and_then(Option::take) {
             let _ = self.poll.registry().deregister(&mut socket);
         }
     }
 
-    /// The next datagram of a socket, with its sender and size, if there is one. A caller that stops before there is none
-    /// requests [`Reactor::resume_receiving`].
+    /// Receives the next datagram of a socket, if there is one, and returns its size and sender. A caller that stops
+    /// before `None` must call [`Reactor::resume_receiving`].
     pub fn receive_datagram(&mut self, number: usize, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
         let socket = self.sockets.get(number)?.as_ref()?;
-        for _ in 0..FAILED_RECEIVES {
+        for _ in 0..MAX_FAILED_RECEIVES {
             match socket.recv_from(into) {
                 Ok(taken) => return Some(taken),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
-                // A peer that is down, or a route that is gone, shows as an error of the socket; what waits is still there.
+                // An unreachable peer or a lost route is reported as an error of the socket; queued datagrams are still
+                // there.
                 Err(_) => {}
             }
         }
@@ -136,25 +138,25 @@
         None
     }
 
-    /// Datagrams were left in a socket: it is to be told of again.
+    /// Has the poll report a socket again in which datagrams were left.
     pub fn resume_receiving(&mut self, socket: usize) {
-        let token = Token(SOCKETS + socket);
+        let token = Token(FIRST_SOCKET_TOKEN + socket);
         if let Some(Some(source)) = self.sockets.get_mut(socket) {
             let _ = self.poll.registry().reregister(source, token, Interest::READABLE);
         }
     }
 
-    /// Sends a datagram; what the system does not take is lost, as datagrams may be.
+    /// Sends a datagram. One that the system does not take is dropped, as any datagram may be.
     pub fn send_datagram(&self, socket: usize, bytes: &[u8], to: SocketAddr) {
         if let Some(Some(socket)) = self.sockets.get(socket) {
             let _ = socket.send_to(bytes, to);
         }
     }
 
-    /// Takes the next client of a listener, if one waits.
+    /// Accepts the next client of a listener, if one is waiting.
     ///
     /// # Errors
-    /// The system's accept failed; [`super::momentary`] tells whether that passes.
+    /// The system's accept failed; [`super::is_transient`] tells whether a later one may succeed.
     pub fn accept(&mut self, listener: usize) -> io::Result<Option<Stream>> {
         let taken = match &self.listeners[listener] {
             None => return Ok(None),
@@ -171,20 +173,20 @@
         }
     }
 
-    /// Begins a TCP connection.
+    /// Starts a non-blocking TCP connect.
     ///
     /// # Errors
-    /// The connection could not even be begun.
+    /// The connect could not be started.
     pub fn connect(&self, to: SocketAddr) -> io::Result<Stream> {
         let stream = TcpStream::connect(to)?;
         let _ = stream.set_nodelay(true);
         Ok(Stream::Tcp(stream))
     }
 
-    /// Begins a connection to a Unix socket.
+    /// Connects to a Unix socket.
     ///
     /// # Errors
-    /// Nobody listens at the path, or the system refuses.
+    /// No process listens at the path, or the system refuses.
     pub fn connect_unix(&self, to: &Path) -> io::Result<Stream> {
         UnixStream::connect(to).map(Stream::Unix)
     }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -2,9 +2,9 @@
 use mio::{Events, Poll};
 use std::time::Duration;
 
-/// Epoll tells of input once. What was left in the socket while output waited must be told of again.
+/// Epoll reports input once. Input left in the socket while output was pending must be reported again.
 #[test]
-fn input_that_was_held_back_is_asked_for_anew() {
+fn input_left_unread_is_reported_again() {
     let (near, mut far) = UnixStream::pair().unwrap();
     let mut poll = Poll::new().unwrap();
     let mut events = Events::with_capacity(4);
@@ -15,11 +15,11 @@
     far.write_all(b"x").unwrap();
     poll.poll(&mut events, Some(Duration::from_secs(10))).unwrap();
     link.enqueue(b"y");
-    assert!(!link.fill(clock).unwrap() && link.input.is_empty(), "held back");
+    assert!(!link.fill_input(clock).unwrap() && link.input.is_empty(), "reading is paused");
     assert!(link.flush().unwrap());
     link.register(poll.registry()).unwrap();
     poll.poll(&mut events, Some(Duration::from_secs(10))).unwrap();
     assert!(events.iter().any(mio::event::Event::is_readable));
-    assert!(link.fill(clock).unwrap());
+    assert!(link.fill_input(clock).unwrap());
     assert_eq!(link.input, b"x");
 }
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -247,7 +247,7 @@
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let mut new = first.beside(&TcpListener::from(std::os::fd::OwnedFd::from(stream)));
     assert!(!new.ends());
-    new.wait_log("GW_PASSED_SOCKET names descriptor 0: it is no listening TCP socket");
+    new.wait_log("GW_PASSED_SOCKET names descriptor 0: not a listening TCP socket");
 }
 
 /// One answer in sixteen is long, comes in pieces, and is read slowly, also while the daemon ends.
