--- a/src/fleet/distribution/tests/commit.rs
+++ b/src/fleet/distribution/tests/commit.rs
@@ -1,4 +1,4 @@
-//! Replicas and publishers: what is committed stays, whoever publishes.
+//! Replicas and publishers: a committed batch stays, whichever replica publishes.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn one_replica_publishes_by_itself() {
+fn a_single_replica_publishes_alone() {
     let mut domain = Domain::new(3, 1, 0, vec![Interest::All]);
     let publisher = domain.replicas[0];
     let early = domain.publish(publisher, vec![completion()]);
@@ -43,7 +43,7 @@
     let ticket = domain.publish(next, vec![class("a", "2")]);
     domain.run_ms(200);
     assert!(matches!(domain.outcome(next, ticket), Some(Ok(_))));
-    // The old one comes back before its lease is over, and is replayed that it is overtaken.
+    // The old publisher is reachable again before its lease expires, and learns that it was superseded.
     domain.net.set_links(|_, _| None);
     domain.run_ms(3_000);
     assert_eq!(domain.outcome(old, lost), Some(Err(PublishError::Superseded)));
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_batch_that_a_majority_accepted_survives_its_publisher_under_its_own_version() {
+fn a_batch_accepted_by_a_majority_survives_its_publisher_with_its_version() {
     let mut domain = domain(3);
-    let [old, heard, deaf] = domain.replicas[..] else { panic!() };
-    // The other replica accepts, and its answer is lost: nobody knows of a majority.
+    let [old, accepting, cut_off] = domain.replicas[..] else { panic!() };
+    // The other replica accepts, but its answer is lost, so that no process knows of the majority.
     domain.net.set_links(move |from, to| {
-        let cut = to == old && from == heard || from == deaf || to == deaf;
+        let cut = to == old && from == accepting || from == cut_off || to == cut_off;
         cut.then_some(Link { cut: true, ..Link::default() })
     });
     let fence = domain.fence;
@@ -67,17 +67,17 @@
     assert_eq!(domain.outcome(old, ticket), None);
     domain.net.kill(old);
     domain.net.set_links(|_, _| None);
-    domain.elect(deaf, 600_000);
+    domain.elect(cut_off, 600_000);
     domain.run_ms(3_000);
-    assert_eq!(domain.version(deaf), Version { fence, sequence: 3 }, "one batch, one version");
-    domain.publish(deaf, vec![class("b", "1")]);
+    assert_eq!(domain.version(cut_off), Version { fence, sequence: 3 }, "the batch keeps its version");
+    domain.publish(cut_off, vec![class("b", "1")]);
     domain.run_ms(2_000);
-    domain.assert_converged(deaf);
-    assert_eq!(domain.version(deaf), Version { fence: domain.fence, sequence: 4 });
-    assert_eq!(domain.records(deaf)[&Key::Class("a".into())], Value::Class("2".into()));
+    domain.assert_converged(cut_off);
+    assert_eq!(domain.version(cut_off), Version { fence: domain.fence, sequence: 4 });
+    assert_eq!(domain.records(cut_off)[&Key::Class("a".into())], Value::Class("2".into()));
     domain.start(old);
     domain.run_ms(3_000);
-    domain.assert_converged(deaf);
+    domain.assert_converged(cut_off);
 }
 
 #[test]
@@ -105,53 +105,54 @@
 }
 
 #[test]
-fn a_replica_that_forgot_does_not_count_until_it_has_caught_up() {
+fn a_replica_that_lost_its_state_does_not_count_until_it_has_caught_up() {
     let mut domain = domain(3);
-    let [publisher, forgot, away] = domain.replicas[..] else { panic!() };
-    domain.net.kill(away);
+    let [publisher, restarted, absent] = domain.replicas[..] else { panic!() };
+    domain.net.kill(absent);
     domain.publish(publisher, vec![class("a", "kept")]);
     domain.run_ms(500);
-    assert_eq!(domain.version(forgot), domain.version(publisher), "by two of three");
+    assert_eq!(domain.version(restarted), domain.version(publisher), "committed by two of three");
     let kept = domain.version(publisher);
-    // The third comes back knowing nothing while the others' word does not reach it, and gets the lease.
-    domain.start(away);
+    // The third replica starts without any state while the publisher cannot reach it, and gets the lease.
+    domain.start(absent);
     domain.net.set_links(move |from, to| {
         let cut = from == publisher || to == publisher;
         cut.then_some(Link { cut: true, ..Link::default() })
     });
-    domain.elect(away, 600_000);
+    domain.elect(absent, 600_000);
     domain.run_ms(300);
-    assert_eq!(domain.status(away).publisher, None, "one that remembers is no majority");
+    assert_eq!(domain.status(absent).publisher, None, "one replica with its state is no majority");
     domain.net.set_links(|_, _| None);
     domain.run_ms(3_000);
-    assert!(domain.status(away).publisher.is_some());
-    assert_eq!(domain.version(away), kept);
-    domain.assert_converged(away);
+    assert!(domain.status(absent).publisher.is_some());
+    assert_eq!(domain.version(absent), kept);
+    domain.assert_converged(absent);
 }
 
-/// Nothing that was acknowledged may be lost while a majority lives, however long one of it is out of reach.
+/// Nothing that was acknowledged may be lost while a majority is alive, however long one of its replicas is
+/// unreachable.
 #[test]
-fn one_that_remembers_and_one_that_forgot_wait_for_the_third() {
+fn one_replica_with_and_one_without_its_state_wait_for_the_third() {
     let mut domain = domain(3);
-    let [publisher, forgot, lags] = domain.replicas[..] else { panic!() };
+    let [publisher, restarted, lagging] = domain.replicas[..] else { panic!() };
     let cut = Link { cut: true, ..Link::default() };
-    domain.net.set_links(move |from, to| (from == lags || to == lags).then_some(cut));
+    domain.net.set_links(move |from, to| (from == lagging || to == lagging).then_some(cut));
     let kept = domain.publish(publisher, vec![class("a", "kept")]);
     domain.run_ms(500);
     assert!(matches!(domain.outcome(publisher, kept), Some(Ok(_))));
-    domain.start(forgot);
+    domain.start(restarted);
     domain.net.set_links(move |from, to| (from == publisher || to == publisher).then_some(cut));
-    domain.elect(lags, 600_000);
+    domain.elect(lagging, 600_000);
     domain.run_ms(60_000);
-    assert_eq!(domain.status(lags).publisher, None);
+    assert_eq!(domain.status(lagging).publisher, None);
     domain.net.set_links(|_, _| None);
     domain.run_ms(3_000);
-    assert_eq!(domain.records(lags)[&Key::Class("a".into())], Value::Class("kept".into()));
-    domain.assert_converged(lags);
+    assert_eq!(domain.records(lagging)[&Key::Class("a".into())], Value::Class("kept".into()));
+    domain.assert_converged(lagging);
 }
 
 #[test]
-fn when_a_majority_has_forgotten_the_others_are_not_waited_for_for_ever() {
+fn when_a_majority_lost_its_state_the_wait_for_the_others_is_limited() {
     let mut domain = domain(3);
     let [gone, one, other] = domain.replicas[..] else { panic!() };
     domain.net.kill(gone);
@@ -159,7 +160,7 @@
     domain.start(other);
     domain.elect(one, 600_000);
     domain.run_ms(4_000);
-    assert_eq!(domain.status(one).publisher, None, "the third may answer yet");
+    assert_eq!(domain.status(one).publisher, None, "the third may still answer");
     domain.run_ms(2_000);
     assert!(domain.status(one).publisher.is_some());
     let ticket = domain.publish(one, vec![class("a", "anew"), completion()]);
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn a_lost_lease_ends_what_waits() {
+fn a_lost_lease_drops_all_tickets() {
     let mut domain = domain(3);
     let publisher = domain.replicas[0];
     for at in domain.replicas[1..].iter().copied() {
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn a_lease_that_runs_out_is_not_used() {
+fn an_expired_lease_is_not_used() {
     let mut domain = domain(3);
     let publisher = domain.replicas[0];
     domain.elect(publisher, 1_000);
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn only_replicas_vote_and_only_parents_feed() {
+fn only_replicas_vote_and_only_parents_send_pages() {
     let mut domain = domain(3);
     let (publisher, child, stranger) = (domain.replicas[0], domain.subscribers[0], address(200));
     let before = domain.version(publisher);
@@ -238,9 +239,9 @@
     assert_eq!((domain.version(publisher), domain.version(child)), (before, before));
 }
 
-/// Reordered datagrams must not have each batch wait until it is sent again.
+/// Reordered datagrams must not delay each batch until its retransmission.
 #[test]
-fn a_long_list_is_published_in_round_trips() {
+fn a_long_list_is_published_at_one_round_trip_per_batch() {
     for replicas in [3, 5] {
         let mut domain = domain(replicas);
         let publisher = domain.replicas[0];
@@ -253,7 +254,7 @@
         }
         let batches = (domain.status(publisher).counters.committed - committed) as f64;
         let took = (domain.net.now() - start).secs() / batches;
-        // A round trip takes 0.4 to 1 ms here, and sending again 250.
+        // A round trip takes 0.4 to 1 ms here, a retransmission 250 ms.
         assert!(batches > 50.0 && took < 0.005, "{replicas} replicas: {batches} batches of {took} s");
         domain.run_ms(5_000);
         domain.assert_converged(publisher);
--- a/src/fleet/distribution/tests/digest_forms.rs
+++ b/src/fleet/distribution/tests/digest_forms.rs
@@ -1,10 +1,10 @@
-//! Digests that processes compare stay as they are: one of another version must come to the same.
+//! Digests are compared between processes, so that all program versions must compute the same ones.
 
 use super::super::log::Log;
 use super::*;
 
-/// Changes of every kind, a record that is changed, one that goes, and one that goes to another zone.
-fn log() -> Log {
+/// Changes of every kind, with a record that is changed, one that is removed, and one that moves to another zone.
+fn sample_log() -> Log {
     let mut log = Log::default();
     log.commit(3, [worker(1, 0, 1_000), worker(2, 1, 500), worker(3, 1, 500), class("chat", "{}")]);
     log.commit(4, [worker(2, 1, 700), removal(3, 1), removal(1, 0), worker(1, 2, 1_000), completion()]);
@@ -13,7 +13,7 @@
 
 #[test]
 fn digests_of_a_log_stay_the_same() {
-    let log = log();
+    let log = sample_log();
     assert_eq!(log.version(), Version { fence: 4, sequence: 9 });
     let cases = [
         ("all", Interest::All, 0xaf98_4d72_e967_18f7),
@@ -27,10 +27,10 @@
     assert_eq!((Log::default().digest(), log.digest()), (0, 0xaf98_4d72_e967_18f7));
 }
 
-/// What goes into a page, and how much room it is counted to take.
+/// The content of a page, and the size counted for it.
 #[test]
 fn parts_of_a_log_stay_the_same() {
-    let part = log().part(&Interest::All, 0, 0);
+    let part = sample_log().part(&Interest::All, 0, 0);
     let changes = [
         class("chat", "{}"),
         worker(2, 1, 700),
--- a/src/fleet/distribution/tests/log.rs
+++ b/src/fleet/distribution/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log against a plain map: parts for any interest from any position, removals, digests, epochs.
+//! The log compared with a plain map: parts for any interest from any position, removals, digests, epochs.
 
 use super::*;
 use crate::fleet::distribution::log::{Log, MAX_TOMBSTONES};
@@ -26,7 +26,7 @@
     model.iter().map(hash).fold(0, u64::wrapping_add)
 }
 
-/// All parts from a position on, on top of what was.
+/// Applies all parts from a position on to a model.
 fn follow(log: &Log, interest: &Interest, mut after: u64, removed_after: u64, mut model: Model) -> Model {
     while after < log.version().sequence {
         let part = log.part(interest, after, removed_after);
@@ -61,9 +61,9 @@
 proptest! {
     #![proptest_config(crate::drawn())]
 
-    /// Whoever has a version, and takes the parts after it, has what a plain map has; and the digest says so.
+    /// A version plus the parts after it gives the records and the digest of a plain map.
     #[test]
-    fn parts_from_any_position_come_to_the_same(
+    fn parts_from_any_position_lead_to_the_same_records(
         batches in prop::collection::vec(prop::collection::vec(change(), 1..8), 1..40),
         interest in interest(),
     ) {
@@ -91,10 +91,9 @@
         prop_assert_eq!(&follow(&log, &interest, 0, head, Model::new()), &wanted);
     }
 
-    /// A child that takes over parts, and serves others from them, has for them what its own parent has, from any version
-    /// that the child has gone through.
+    /// A log built from the parts of another one serves the same records, from each version that it includes.
     #[test]
-    fn a_log_made_of_parts_serves_as_well(
+    fn a_log_built_from_parts_serves_the_same_parts(
         batches in prop::collection::vec(prop::collection::vec(change(), 1..6), 2..30),
         stops in prop::collection::btree_set(1usize..30, 1..6),
         interest in interest(),
@@ -130,9 +129,9 @@
         }
     }
 
-    /// What a batch comes to in the end, and the digest it leaves, are replayed before it is applied.
+    /// The net effect of a batch, and the resulting digest, are known before the batch is applied.
     #[test]
-    fn the_net_of_changes_is_what_differs(
+    fn net_changes_are_the_difference(
         first in prop::collection::vec(change(), 0..30),
         then in prop::collection::vec(change(), 0..30),
     ) {
@@ -152,9 +151,9 @@
         prop_assert_eq!(names.len(), changes.len());
     }
 
-    /// The same records under another history: new numbers, the same content.
+    /// A rebased log has the same records under the sequences of another history.
     #[test]
-    fn a_rebased_log_serves_the_same(first in prop::collection::vec(change(), 1..60), ahead in 0u64..1_000) {
+    fn a_rebased_log_serves_the_same_records(first in prop::collection::vec(change(), 1..60), ahead in 0u64..1_000) {
         let (mut log, mut model) = (Log::default(), Model::new());
         first.iter().for_each(|change| apply(&mut model, change));
         log.commit(3, first);
@@ -168,7 +167,7 @@
 }
 
 #[test]
-fn removals_are_forgotten_and_the_floor_says_up_to_where() {
+fn old_tombstones_are_dropped_up_to_the_floor() {
     let mut log = Log::default();
     let many = MAX_TOMBSTONES as u64 + 100;
     log.commit(1, (0..many).map(|id| worker(id, 0, 1)));
@@ -184,7 +183,7 @@
 }
 
 #[test]
-fn epochs_are_bounded_and_a_version_of_a_forgotten_one_is_not_known() {
+fn epochs_are_bounded_and_versions_of_dropped_ones_are_unknown() {
     let mut log = Log::default();
     for fence in 1..=100 {
         log.commit(fence, [worker(fence, 0, 1)]);
--- a/src/fleet/distribution/tests/mod.rs
+++ b/src/fleet/distribution/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Tests of the distribution: its parts by themselves, and nodes on a network in virtual time with the shipped datagrams.
+//! Tests of the distribution: single components, and nodes on a network in virtual time that exchange the actual
+//! datagrams.
 
 mod commit;
 mod digest_forms;
@@ -61,7 +62,7 @@
     Interest::Topics(zones.iter().map(|zone| Topic::workers_of(ZoneId(*zone))).collect())
 }
 
-/// RejectsClass whatever has a class with these settings.
+/// Rejects changes that contain a class with these settings.
 struct RejectsClass(&'static str);
 
 impl ChangeCheck for RejectsClass {
@@ -71,18 +72,18 @@
     }
 }
 
-/// A node as a process that speaks in datagrams.
+/// A node as a process of the simulated network, which sends and receives datagrams.
 struct Host {
     node: DistributionNode,
-    number: u32,
-    /// What came of it, without messages.
+    index: u32,
+    /// All outputs except messages, with the time of each.
     outputs: Vec<(Timestamp, DistributionOutput)>,
 }
 
 impl Host {
     fn handle(&mut self, now: lab::network::Timestamp, event: DistributionInput) -> Outgoing {
         let now = Timestamp(now.0);
-        let process = ProcessId { index: self.number, incarnation: 1 };
+        let process = ProcessId { index: self.index, incarnation: 1 };
         let mut sent = vec![];
         for output in self.node.handle(now, event) {
             match output {
@@ -113,7 +114,7 @@
     }
 }
 
-/// A domain: replicas from place 0 on, relays from 10 on, subscribers from 20 on.
+/// A domain: replicas from address number 0 on, relays from 10 on, subscribers from 20 on.
 struct Domain {
     net: Network<Host>,
     replicas: Vec<SocketAddr>,
@@ -130,7 +131,7 @@
         Domain::with_rate(seed, replicas, relays, subscribers, CATCH_UP_BYTES_PER_SECOND)
     }
 
-    /// One whose parents serve catch-ups with so many bytes a second.
+    /// Creates a domain whose parents send catch-up pages at this rate, in bytes per second.
     fn with_rate(seed: u64, replicas: usize, relays: usize, subscribers: Vec<Interest>, rate: u64) -> Domain {
         let replicas: Vec<SocketAddr> = (0..replicas).map(address).collect();
         let relays: Vec<SocketAddr> = (0..relays).map(|n| address(10 + n)).collect();
@@ -168,15 +169,15 @@
         }
     }
 
-    /// Starts a process that knows nothing.
+    /// Starts a process without any state.
     fn start(&mut self, at: SocketAddr) {
         self.start_with(at, Box::new(RejectsClass("bad")));
     }
 
     fn start_with(&mut self, at: SocketAddr, check: Box<dyn ChangeCheck>) {
         let node = DistributionNode::new(Timestamp(self.net.now().0), self.config(at), check);
-        let number = self.all().iter().position(|other| *other == at).unwrap() as u32;
-        self.net.start(at, Host { node, number, outputs: vec![] });
+        let index = self.all().iter().position(|other| *other == at).unwrap() as u32;
+        self.net.start(at, Host { node, index, outputs: vec![] });
     }
 
     fn run_ms(&mut self, ms: u64) {
@@ -188,7 +189,7 @@
         self.net.act(at, |host, now| host.handle(now, DistributionInput::Lease(grant)));
     }
 
-    /// A replica gets the lease for so many milliseconds, under a fence higher than all before.
+    /// Grants a replica the lease for this time, under a higher fence than all before.
     fn elect(&mut self, at: SocketAddr, ms: u64) -> u64 {
         self.fence += 10;
         let grant =
@@ -205,7 +206,7 @@
     }
 
     fn host(&self, at: SocketAddr) -> &Host {
-        self.net.process(at).expect("it runs")
+        self.net.process(at).expect("the process is running")
     }
 
     fn version(&self, at: SocketAddr) -> Version {
@@ -220,7 +221,7 @@
         self.host(at).node.records().map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 
-    /// What came of a ticket.
+    /// The outcome of a ticket.
     fn outcome(&self, at: SocketAddr, ticket: u64) -> Option<Result<Version, PublishError>> {
         self.host(at).outputs.iter().find_map(|(_, output)| match output {
             DistributionOutput::Published { ticket: of, version } if *of == ticket => Some(Ok(*version)),
@@ -229,7 +230,7 @@
         })
     }
 
-    /// All that run have the publisher's version, and just its records of their interest.
+    /// Asserts that all running processes have the publisher's version, and exactly its records of their interest.
     fn assert_converged(&self, publisher: SocketAddr) {
         let version = self.version(publisher);
         for at in self.all().into_iter().filter(|at| self.net.process(*at).is_some()) {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// What was replayed as installed, one after another, comes to what is in force.
+    /// Asserts that the reported changes, applied one after another, lead to the installed records.
     fn assert_outputs_match_records(&self, at: SocketAddr) {
         let mut replayed: BTreeMap<Key, Value> = BTreeMap::new();
         for (_, output) in &self.host(at).outputs {
--- a/src/fleet/distribution/tests/parents.rs
+++ b/src/fleet/distribution/tests/parents.rs
@@ -1,4 +1,4 @@
-//! Parents that are stale, that come back, that are slow or asked by many at once.
+//! Parents that are stale, that return, or that serve slow children or many at once.
 
 use super::*;
 
@@ -16,7 +16,7 @@
             return domain;
         }
     }
-    panic!("the first state has not come to all");
+    panic!("not all processes have the first state");
 }
 
 fn children_of(domain: &Domain, parent: SocketAddr) -> usize {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn children_spread_over_parents_and_come_back_to_one_that_was_away() {
+fn children_spread_over_parents_and_return_to_a_restarted_one() {
     let mut domain = domain(60, 20, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
     domain.run_ms(200 * SECOND_MS);
@@ -36,16 +36,16 @@
     assert_eq!(children_of(&domain, other), 60);
     domain.start(one);
     domain.run_ms(200 * SECOND_MS);
-    assert_eq!(children_of(&domain, one), before, "each has its own first parent");
+    assert_eq!(children_of(&domain, one), before, "each child has its own preferred parent");
     let status = domain.status(one);
     assert_eq!((status.children, status.behind), (before, 0), "{status}");
     domain.assert_converged(publisher);
     let snapshots: u64 = domain.subscribers.iter().map(|at| domain.status(*at).counters.snapshots).sum();
-    assert_eq!(snapshots, 60, "none fetched anything whole for it");
+    assert_eq!(snapshots, 60, "no child fetched another snapshot");
 }
 
 #[test]
-fn a_parent_that_lives_but_hears_nothing_itself_is_left_for_one_that_does() {
+fn a_parent_that_is_cut_off_from_the_replicas_is_left_for_another() {
     let mut domain = domain(20, 20, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
     let (stale, replicas) = (domain.relays[0], domain.replicas.clone());
@@ -61,16 +61,20 @@
         assert_eq!(domain.version(at), domain.version(publisher), "{at}");
         assert!(domain.status(at).age.unwrap() < Duration::millis(2_500), "{}", domain.status(at));
     }
-    assert_eq!(domain.records(stale).len(), domain.records(publisher).len(), "and it has what it had");
+    assert_eq!(
+        domain.records(stale).len(),
+        domain.records(publisher).len(),
+        "the stale parent keeps its records"
+    );
 }
 
 #[test]
-fn many_that_start_at_once_are_paced_and_changes_do_not_wait_for_them() {
+fn simultaneous_catch_ups_are_rate_limited_and_do_not_delay_changes() {
     let rate = 100_000;
     let mut domain = domain(40, 1_000, rate);
     let publisher = domain.replicas[0];
     domain.run_ms(10 * SECOND_MS);
-    // Only one relay is left, and all but two of its children know nothing.
+    // Only one relay is left, and all but two of its children start without any state.
     domain.net.kill(domain.relays[1]);
     domain.run_ms(5 * SECOND_MS);
     let (relay, fresh) = (domain.relays[0], domain.subscribers[2..].to_vec());
@@ -82,7 +86,7 @@
         domain.publish(publisher, vec![worker(seconds, 0, 7)]);
         domain.run_ms(50);
         for at in &domain.subscribers[..2] {
-            assert_eq!(domain.version(*at), domain.version(publisher), "at once, while others catch up");
+            assert_eq!(domain.version(*at), domain.version(publisher), "not delayed while others catch up");
         }
         domain.run_ms(SECOND_MS - 50);
         seconds += 1;
@@ -90,20 +94,20 @@
     }
     let took = (domain.net.now() - start).secs();
     let bytes = (sent(&domain) - before) as f64;
-    // Heads of pages, answers to reports and live changes come on top of what is paced.
+    // Page headers, replies to reports and live changes are sent in addition to the rate-limited bytes.
     assert!(seconds > 5 && bytes < took * rate as f64 * 1.3 + 20_000.0, "{bytes} bytes in {took} s");
     domain.run_ms(2 * SECOND_MS);
     domain.assert_converged(publisher);
 }
 
 #[test]
-fn one_that_reads_nothing_costs_nobody_else() {
+fn a_stopped_child_does_not_delay_others() {
     let mut domain = domain(30, 2_000, 200_000);
     let publisher = domain.replicas[0];
     let slow = domain.subscribers[0];
     domain.start(slow);
     domain.run_ms(50);
-    assert_eq!(domain.version(slow), Version::default(), "in the middle of its snapshot");
+    assert_eq!(domain.version(slow), Version::default(), "its snapshot is under way");
     domain.net.stop(slow, true);
     for round in 0..10 {
         domain.publish(publisher, vec![worker(round, 0, 7)]);
@@ -114,7 +118,7 @@
         domain.run_ms(SECOND_MS);
     }
     let children: usize = domain.relays.iter().map(|at| domain.status(*at).children).sum();
-    assert_eq!(children, 29, "it is forgotten");
+    assert_eq!(children, 29, "the stopped child is removed");
     domain.net.stop(slow, false);
     domain.run_ms(5 * SECOND_MS);
     domain.assert_converged(publisher);
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn a_region_that_was_cut_off_for_an_hour_takes_what_has_changed_and_no_more() {
+fn a_region_cut_off_for_an_hour_receives_only_changes() {
     let mut domain = domain(6, 500, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
     let far = domain.subscribers[..3].to_vec();
@@ -139,18 +143,19 @@
     domain.run_ms(10 * SECOND_MS);
     domain.assert_converged(publisher);
     for at in far {
-        assert_eq!(domain.status(at).counters.snapshots, 1, "the first one");
+        assert_eq!(domain.status(at).counters.snapshots, 1, "only the first one");
         domain.assert_outputs_match_records(at);
     }
 }
 
-/// Pages that come out of order are acknowledged as others are, so that the pace is what holds a snapshot up.
+/// Pages that arrive out of order are acknowledged like others, so that the rate limit alone determines the duration of
+/// a snapshot.
 #[test]
-fn a_snapshot_of_many_pages_comes_at_the_pace_that_is_set() {
+fn a_large_snapshot_is_sent_at_the_configured_rate() {
     let rate = 400_000;
     let mut domain = domain(1, 20_000, rate);
     let (publisher, at) = (domain.replicas[0], domain.subscribers[0]);
-    let relay = domain.status(at).parent.expect("it has one");
+    let relay = domain.status(at).parent.expect("the subscriber has a parent");
     domain.run_ms(5 * SECOND_MS);
     let before = domain.status(relay).counters;
     domain.start(at);
@@ -168,7 +173,7 @@
 }
 
 #[test]
-fn a_child_does_not_go_back_with_a_parent_that_is_behind_it() {
+fn a_child_keeps_its_version_under_a_parent_that_is_behind() {
     let mut domain = domain(10, 20, CATCH_UP_BYTES_PER_SECOND);
     let publisher = domain.replicas[0];
     let [ahead, behind] = domain.relays[..] else { panic!() };
@@ -184,8 +189,8 @@
     assert!(domain.version(behind) < domain.version(publisher));
     for at in domain.subscribers.clone() {
         assert_eq!(domain.version(at), domain.version(publisher), "{at}");
-        assert_eq!(domain.status(at).parent, Some(behind), "better than none");
-        assert!(domain.status(at).age.unwrap() > Duration::millis(28_000), "it does not count as up to date");
+        assert_eq!(domain.status(at).parent, Some(behind), "a parent that is behind is better than none");
+        assert!(domain.status(at).age.unwrap() > Duration::millis(28_000), "the age keeps growing");
     }
     assert!(domain.status(behind).counters.ahead > 0);
     domain.net.set_links(|_, _| None);
--- a/src/fleet/distribution/tests/staging.rs
+++ b/src/fleet/distribution/tests/staging.rs
@@ -1,4 +1,4 @@
-//! Stages: pages in any order, repeated, from two parents, while the parent's version moves on.
+//! Staging of pages that arrive in any order, repeatedly, or from two parents, while the parent's version advances.
 
 use super::*;
 use crate::fleet::distribution::log::Log;
@@ -7,7 +7,7 @@
 
 const START_TIME: Timestamp = Timestamp(1_000_000_000_000);
 
-/// The pages of a catch-up: from 0 on a snapshot.
+/// The pages of a catch-up; one that starts at 0 is a snapshot.
 pub(super) fn pages(log: &Log, interest: &Interest, start: u64, from: u64) -> Vec<Page> {
     let (mut after, mut pages) = (from, vec![]);
     while after < log.version().sequence {
@@ -30,19 +30,19 @@
     pages
 }
 
-/// Where the stage began, and how far it has come.
-fn reached(staging: &Staging) -> Option<(u64, u64)> {
+/// The sequence that the stage started from, and its position.
+fn start_and_position(staging: &Staging) -> Option<(u64, u64)> {
     staging.progress().map(|progress| (progress.start, progress.upto))
 }
 
-pub(super) fn parent(workers: u64) -> Log {
+pub(super) fn parent_log(workers: u64) -> Log {
     let mut log = Log::default();
     log.commit(1, (0..workers).map(|id| worker(id, (id % 3) as u8, 1)).chain([class("a", "1")]));
     log
 }
 
-/// Takes pages in until nothing is left, and installs what is whole; whether all digests were right.
-fn settle(staging: &mut Staging, child: &mut Log, pages: impl IntoIterator<Item = Page>) -> bool {
+/// Receives all pages, and installs each complete version. Returns whether all of them were consistent.
+fn receive_all(staging: &mut Staging, child: &mut Log, pages: impl IntoIterator<Item = Page>) -> bool {
     for page in pages {
         if page.head <= child.version() {
             continue;
@@ -62,46 +62,46 @@
 }
 
 #[test]
-fn a_snapshot_replaces_what_was() {
-    let log = parent(200);
+fn a_snapshot_replaces_the_records() {
+    let log = parent_log(200);
     let mut child = Log::default();
     child.commit(1, [worker(999, 0, 1), worker(3, 1, 8)]);
     let mut staging = Staging::default();
     let pages = pages(&log, &zone_interest(&[0]), 0, 0);
     assert!(pages.len() > 1);
-    assert!(settle(&mut staging, &mut child, pages));
+    assert!(receive_all(&mut staging, &mut child, pages));
     assert_eq!(child.version(), log.version());
     assert_eq!(child.digest(), log.digest_of(&zone_interest(&[0])));
-    assert_eq!(child.floor(&Interest::All), log.version().sequence, "removals of before are not known");
+    assert_eq!(child.floor(&Interest::All), log.version().sequence, "earlier removals are not known");
 }
 
 #[test]
 fn a_wrong_digest_is_not_installed() {
-    let log = parent(50);
+    let log = parent_log(50);
     let mut pages = pages(&log, &Interest::All, 0, 0);
     let last = pages.last_mut().unwrap();
     last.changes.pop();
     let (mut staging, mut child) = (Staging::default(), Log::default());
-    assert!(!settle(&mut staging, &mut child, pages));
+    assert!(!receive_all(&mut staging, &mut child, pages));
     assert_eq!(child.version(), Version::default());
 }
 
 #[test]
-fn pages_that_come_too_early_are_bounded() {
-    let log = parent(5_000);
+fn buffered_early_pages_are_bounded() {
+    let log = parent_log(5_000);
     let pages = pages(&log, &Interest::All, 0, 0);
     assert!(pages.len() > 40);
     let (mut staging, mut child) = (Staging::default(), Log::default());
-    settle(&mut staging, &mut child, pages[1..].iter().cloned());
+    receive_all(&mut staging, &mut child, pages[1..].iter().cloned());
     assert_eq!(staging.progress(), None);
-    settle(&mut staging, &mut child, pages[..1].to_vec());
+    receive_all(&mut staging, &mut child, pages[..1].to_vec());
     let kept = crate::fleet::distribution::stage::WINDOW_PAGES as u64;
-    assert_eq!(reached(&staging), Some((0, pages[kept as usize].upto)));
+    assert_eq!(start_and_position(&staging), Some((0, pages[kept as usize].upto)));
 }
 
 #[test]
-fn a_parent_that_begins_anew_is_heeded_once_the_stage_stands_still() {
-    let log = parent(500);
+fn a_parent_that_starts_over_is_accepted_once_the_stage_has_stalled() {
+    let log = parent_log(500);
     let pages = pages(&log, &Interest::All, 0, 0);
     let (mut staging, child) = (Staging::default(), Log::default());
     for page in &pages[..5] {
@@ -111,56 +111,56 @@
     staging.add_page(START_TIME + Duration::millis(199), 0, pages[0].clone());
     assert_eq!(staging.progress(), before, "a late page");
     staging.add_page(START_TIME + Duration::millis(200), 0, pages[0].clone());
-    assert_eq!(reached(&staging), Some((0, pages[0].upto)));
+    assert_eq!(start_and_position(&staging), Some((0, pages[0].upto)));
 }
 
-/// A record's older page must not undo what a later one has said, nor may overlapping pages leave anything out of the
-/// index from which the child serves others.
+/// An older page must not undo a later change of a record, and overlapping pages must not leave a record out of the
+/// index from which the child serves its own children.
 #[test]
-fn overlapping_pages_of_two_versions_serve_whole_snapshots() {
-    let mut log = parent(600);
+fn overlapping_pages_of_two_versions_yield_complete_snapshots() {
+    let mut log = parent_log(600);
     let old = pages(&log, &Interest::All, 0, 0);
     assert!(old.len() > 6);
     log.commit(1, (0..40).map(|id| worker(7 * id, (7 * id % 3) as u8, 99)).chain([removal(1, 1)]));
     let new = pages(&log, &Interest::All, 0, 0);
     for cut in 1..6 {
-        // Sent again from what was acknowledged, with other limits.
+        // The rest is sent again from the acknowledged sequence, with other page boundaries.
         let again = pages(&log, &Interest::All, 0, old[cut - 1].after + 3);
         let (mut staging, mut child) = (Staging::default(), Log::default());
         let mixed = old[..cut].iter().chain(&again).chain(&old[cut..]).cloned();
-        assert!(settle(&mut staging, &mut child, mixed.collect::<Vec<_>>()), "cut at {cut}");
+        assert!(receive_all(&mut staging, &mut child, mixed.collect::<Vec<_>>()), "cut at {cut}");
         assert_eq!((child.version(), child.digest()), (log.version(), log.digest()), "cut at {cut}");
         let mut grandchild = Log::default();
-        assert!(settle(&mut Staging::default(), &mut grandchild, pages(&child, &Interest::All, 0, 0)));
+        assert!(receive_all(&mut Staging::default(), &mut grandchild, pages(&child, &Interest::All, 0, 0)));
         assert_eq!(grandchild.digest(), log.digest());
-        assert_eq!(pages(&child, &Interest::All, 0, 0), new, "what it serves is what it got");
-        // Once a page of the later version has come, the earlier one is not come to any more.
+        assert_eq!(pages(&child, &Interest::All, 0, 0), new, "it serves the same pages as its parent");
+        // After a page of the later version was applied, the stage does not return to the earlier one.
         let (mut staging, mut child) = (Staging::default(), Log::default());
         let mixed = new[..cut].iter().chain(&old[cut..]).chain(&new[cut..]).cloned();
-        assert!(settle(&mut staging, &mut child, mixed.collect::<Vec<_>>()), "cut at {cut}");
+        assert!(receive_all(&mut staging, &mut child, mixed.collect::<Vec<_>>()), "cut at {cut}");
         assert_eq!((child.version(), child.digest()), (log.version(), log.digest()), "cut at {cut}");
     }
 }
 
 #[test]
 fn pages_of_two_histories_are_not_installed() {
-    let log = parent(300);
+    let log = parent_log(300);
     let mut other = Log::default();
-    // The same records, counted in another order.
+    // The same records, with sequences in another order.
     other.commit(1, [class("a", "1")].into_iter().chain((0..300).map(|id| worker(id, (id % 3) as u8, 1))));
     let (one, two) = (pages(&log, &Interest::All, 0, 0), pages(&other, &Interest::All, 0, 0));
     let (mut staging, mut child) = (Staging::default(), Log::default());
     let mixed = one[..2].iter().chain(&two[1..]).cloned();
-    assert!(!settle(&mut staging, &mut child, mixed.collect::<Vec<_>>()));
+    assert!(!receive_all(&mut staging, &mut child, mixed.collect::<Vec<_>>()));
     assert_eq!(child.version(), Version::default());
 }
 
 proptest! {
     #![proptest_config(crate::drawn())]
 
-    /// Pages of a snapshot, then of changes, in a load request that a window of pages may take, some twice.
+    /// The pages of a snapshot and then of changes, reordered within a window of pages, and some of them repeated.
     #[test]
-    fn any_order_within_the_window_comes_to_the_same(
+    fn any_order_within_the_window_leads_to_the_same_records(
         workers in 1u64..300,
         later in prop::collection::vec((0u64..300, 0u8..3, any::<bool>()), 0..60),
         swaps in prop::collection::vec((0usize..40, 0usize..12), 0..40),
@@ -168,7 +168,7 @@
         of in prop::collection::btree_set(0u8..3, 0..3),
     ) {
         let interest = zone_interest(&of.into_iter().collect::<Vec<_>>());
-        let mut log = parent(workers);
+        let mut log = parent_log(workers);
         let mut sent = pages(&log, &interest, 0, 0);
         let mut base = log.version().sequence;
         for (id, zone, stays) in later {
@@ -188,38 +188,38 @@
             }
         }
         let (mut staging, mut child) = (Staging::default(), Log::default());
-        // What was dropped for its order is sent again by the parent from where the child stands.
+        // The parent sends pages that were dropped for their order again, from the child's position on.
         let mut rounds = 0;
         while child.version() != log.version() {
-            prop_assert!(settle(&mut staging, &mut child, std::mem::take(&mut sent)), "a digest was wrong");
+            prop_assert!(receive_all(&mut staging, &mut child, std::mem::take(&mut sent)), "a digest did not match");
             let version = child.version().sequence;
-            let (start, from) = reached(&staging).unwrap_or((version, version));
+            let (start, from) = start_and_position(&staging).unwrap_or((version, version));
             sent = pages(&log, &interest, start, from);
             rounds += 1;
-            prop_assert!(rounds < 200, "it does not come to an end");
+            prop_assert!(rounds < 200, "the catch-up does not finish");
         }
         prop_assert_eq!(child.digest(), log.digest_of(&interest));
     }
 
-    /// Half of a catch-up from one parent, the other half from another whose version is later.
+    /// The first pages of a catch-up come from one parent, the rest from another one with a later version.
     #[test]
-    fn another_parent_goes_on_where_the_first_stopped(
+    fn another_parent_continues_where_the_first_stopped(
         workers in 50u64..400,
         later in prop::collection::vec((0u64..400, 0u8..3, any::<bool>()), 0..60),
         stop in 0usize..20,
         snapshot in any::<bool>(),
     ) {
-        let mut log = parent(workers);
+        let mut log = parent_log(workers);
         let mut child = Log::default();
         if !snapshot {
             let (mut staging, first) = (Staging::default(), pages(&log, &Interest::All, 0, 0));
-            prop_assert!(settle(&mut staging, &mut child, first));
+            prop_assert!(receive_all(&mut staging, &mut child, first));
             log.commit(1, (0..workers).map(|id| worker(id, (id % 3) as u8, 2)));
         }
         let start = child.version().sequence;
         let mut staging = Staging::default();
         let first: Vec<Page> = pages(&log, &Interest::All, start, start).into_iter().take(stop).collect();
-        prop_assert!(settle(&mut staging, &mut child, first));
+        prop_assert!(receive_all(&mut staging, &mut child, first));
         if child.version() == log.version() {
             return Ok(());
         }
@@ -227,9 +227,9 @@
             log.commit(1, [if stays { worker(id, zone, 5) } else { removal(id, zone) }]);
         }
         staging.change_parent(START_TIME);
-        let (start, from) = reached(&staging).unwrap_or((start, start));
+        let (start, from) = start_and_position(&staging).unwrap_or((start, start));
         let rest = pages(&log, &Interest::All, start, from);
-        prop_assert!(settle(&mut staging, &mut child, rest), "a digest was wrong");
+        prop_assert!(receive_all(&mut staging, &mut child, rest), "a digest did not match");
         prop_assert_eq!(child.version(), log.version());
     }
 }
--- a/src/fleet/distribution/tests/tree.rs
+++ b/src/fleet/distribution/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Nodes of all roles: live changes, snapshots, parents that fail.
+//! Nodes of all roles: live changes, snapshots, and parents that fail.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     workers.chain([class("gold", "{}"), completion()]).collect()
 }
 
-fn small() -> Domain {
+fn small_domain() -> Domain {
     let interests =
         (0..8).map(|n| zone_interest(&[n % 4])).chain([Interest::All, zone_interest(&[1, 3])]).collect();
     let mut domain = Domain::new(1, 3, 2, interests);
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn all_come_to_the_first_state_and_to_each_change() {
-    let mut domain = small();
+fn all_processes_install_the_first_state_and_each_change() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     for round in 0..20 {
         let changes =
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn a_change_is_in_force_at_once_where_it_is_wanted_and_nobody_else_is_sent_it() {
-    let mut domain = small();
+fn a_change_is_sent_at_once_to_interested_subscribers_only() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     let before: Vec<u64> = domain.relays.iter().map(|at| domain.status(*at).counters.pages).collect();
     domain.publish(publisher, vec![worker(0, 0, 7)]);
@@ -52,16 +52,16 @@
     }
     let after: Vec<u64> = domain.relays.iter().map(|at| domain.status(*at).counters.pages).collect();
     let pages: u64 = after.iter().sum::<u64>() - before.iter().sum::<u64>();
-    assert_eq!(pages, 3, "two subscribers of the zone, and one of all");
+    assert_eq!(pages, 3, "two subscribers of the zone, and one of all topics");
     domain.run_ms(1_000);
     domain.assert_converged(publisher);
 }
 
-/// A publisher whose discovery is out of reach has nothing new to publish, and its word that a version is the newest says
-/// nothing of the workers: those who follow it have to know how old the list is.
+/// A publisher whose discovery is unreachable publishes nothing new. That its version is the newest then does not mean
+/// that the worker list is current, so its followers must learn how old the list is.
 #[test]
 fn an_outage_of_the_publishers_discovery_shows_in_the_age_at_all_subscribers() {
-    let mut domain = small();
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     for _ in 0..10 {
         domain.net.act(publisher, |host, now| {
@@ -71,7 +71,7 @@
         domain.run_ms(1_000);
     }
     let ages = |domain: &Domain| -> Vec<Duration> {
-        let age = |at: &SocketAddr| domain.status(*at).age.expect("it is known");
+        let age = |at: &SocketAddr| domain.status(*at).age.expect("the age is known");
         domain.subscribers.iter().map(age).collect()
     };
     assert!(ages(&domain).iter().all(|age| *age < Duration::millis(2_000)), "{:?}", ages(&domain));
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_worker_that_moves_to_another_zone_is_removed_from_the_first() {
-    let mut domain = small();
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     domain.publish(publisher, vec![worker(0, 1, 7), worker(4, 2, 7), worker(4, 3, 7)]);
     domain.run_ms(1_000);
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn what_changes_nothing_has_no_version() {
-    let mut domain = small();
+fn changes_without_effect_create_no_version() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     let before = domain.version(publisher);
     let ticket = domain.publish(publisher, first_state(200));
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn children_of_a_dead_parent_go_on_with_the_other_and_nothing_is_fetched_whole() {
-    let mut domain = small();
+fn children_of_a_dead_parent_continue_with_another_without_a_snapshot() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     let snapshots: u64 = domain.subscribers.iter().map(|at| domain.status(*at).counters.snapshots).sum();
     domain.net.kill(domain.relays[0]);
@@ -116,12 +116,12 @@
     domain.run_ms(2_500);
     domain.assert_converged(publisher);
     let after: u64 = domain.subscribers.iter().map(|at| domain.status(*at).counters.snapshots).sum();
-    assert_eq!(after, snapshots, "they go on from what they have");
+    assert_eq!(after, snapshots, "they continue from what they have");
 }
 
 #[test]
-fn a_process_that_starts_anew_fetches_all_once() {
-    let mut domain = small();
+fn a_restarted_process_fetches_one_snapshot() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     for at in [domain.subscribers[0], domain.relays[1], domain.replicas[2]] {
         domain.start(at);
@@ -135,40 +135,40 @@
 }
 
 #[test]
-fn without_any_parent_the_last_good_state_stays_and_its_age_shows() {
-    let mut domain = small();
+fn without_any_parent_the_last_state_stays_and_its_age_is_shown() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     let at = domain.subscribers[0];
     let (version, records) = (domain.version(at), domain.records(at));
-    for control in [&domain.replicas[..], &domain.relays].concat() {
-        domain.net.kill(control);
+    for at in [&domain.replicas[..], &domain.relays].concat() {
+        domain.net.kill(at);
     }
     domain.run_ms(60_000);
     assert_eq!((domain.version(at), domain.records(at)), (version, records.clone()));
     let status = domain.status(at);
     assert!(status.parent.is_none() && status.age.unwrap() > Duration::millis(59_000), "{status}");
-    // All come back, and know nothing; what the source holds now differs by one worker.
-    for control in [&domain.replicas[..], &domain.relays].concat() {
-        domain.start(control);
+    // All control processes start without any state; the source now differs by one worker.
+    for at in [&domain.replicas[..], &domain.relays].concat() {
+        domain.start(at);
     }
     domain.run_ms(3_000);
-    assert_eq!(domain.records(at), records, "nothing is served before the first state is whole");
+    assert_eq!(domain.records(at), records, "nothing is served before the first state is complete");
     domain.elect(publisher, 600_000);
     domain.run_ms(1_000);
     let changed = first_state(200).into_iter().chain([worker(0, 0, 77)]).collect();
     domain.publish(publisher, changed);
     domain.run_ms(10_000);
     domain.assert_converged(publisher);
-    // Those whose records are the same took over the version and fetched nothing.
+    // Subscribers with the same records adopt the version without a snapshot.
     let of_zone_1 = domain.subscribers[1];
-    assert_eq!(domain.status(of_zone_1).counters.snapshots, 1, "the first one");
+    assert_eq!(domain.status(of_zone_1).counters.snapshots, 1, "only the first one");
     domain.subscribers.iter().for_each(|at| domain.assert_outputs_match_records(*at));
     assert!(domain.status(at).age.unwrap() < Duration::millis(1_500));
 }
 
 #[test]
-fn a_scheduler_that_refuses_a_version_keeps_its_state_and_takes_a_later_one() {
-    let mut domain = small();
+fn a_scheduler_that_refuses_a_version_keeps_its_state_and_installs_a_later_one() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     let at = domain.subscribers[0];
     domain.start_with(at, Box::new(RejectsClass("odd")));
@@ -176,14 +176,18 @@
     let before = domain.records(at);
     domain.publish(publisher, vec![worker(0, 0, 3), class("gold", "odd")]);
     domain.run_ms(3_000);
-    assert_eq!(domain.records(at), before, "whole, or not at all");
+    assert_eq!(domain.records(at), before, "a version is installed completely or not at all");
     let status = domain.status(at);
     let RefusedVersion { version: refused, why } = status.refused.clone().unwrap();
     assert_eq!((refused, why.as_str()), (domain.version(publisher), "odd is not allowed"));
-    assert_eq!(status.counters.refused, 1, "tried once");
+    assert_eq!(status.counters.refused, 1, "the check ran once");
     domain.publish(publisher, vec![worker(4, 0, 3)]);
     domain.run_ms(1_000);
-    assert_eq!((domain.records(at), domain.status(at).counters.refused), (before, 2), "still bad");
+    assert_eq!(
+        (domain.records(at), domain.status(at).counters.refused),
+        (before, 2),
+        "the later version is still invalid"
+    );
     domain.publish(publisher, vec![class("gold", "fine")]);
     domain.run_ms(1_000);
     domain.assert_converged(publisher);
@@ -192,8 +196,8 @@
 }
 
 #[test]
-fn a_bad_change_is_refused_at_the_publisher_with_all_that_came_with_it() {
-    let mut domain = small();
+fn the_publisher_refuses_an_invalid_change_with_its_whole_batch() {
+    let mut domain = small_domain();
     let publisher = domain.replicas[0];
     let before = domain.version(publisher);
     let bad = domain.publish(publisher, vec![worker(0, 0, 3), class("gold", "bad"), worker(1, 1, 3)]);
@@ -207,7 +211,7 @@
 }
 
 #[test]
-fn a_network_that_loses_repeats_and_spoils_only_delays() {
+fn lost_repeated_and_corrupt_datagrams_only_cause_delays() {
     for seed in 0..10 {
         let interests = (0..6).map(|n| zone_interest(&[n % 4])).collect();
         let mut domain = Domain::new(seed, 3, 2, interests);
@@ -242,7 +246,7 @@
 }
 
 #[test]
-fn a_parent_killed_in_the_middle_of_a_snapshot_is_followed_by_the_next_where_it_stood() {
+fn after_a_parent_dies_during_a_snapshot_another_one_continues_it() {
     let mut domain = Domain::with_rate(1, 3, 2, vec![Interest::All], 100_000);
     let publisher = domain.replicas[0];
     domain.elect(publisher, 600_000);
@@ -253,8 +257,8 @@
     let at = domain.subscribers[0];
     domain.start(at);
     domain.run_ms(500);
-    let parent = domain.status(at).parent.expect("it has begun");
-    assert_eq!(domain.version(at), Version::default(), "and is not done");
+    let parent = domain.status(at).parent.expect("the catch-up has started");
+    assert_eq!(domain.version(at), Version::default(), "the catch-up is not complete");
     let survivor = if parent == domain.relays[0] { domain.relays[1] } else { domain.relays[0] };
     let (sent, before) = (domain.status(parent).counters.pages, domain.status(survivor).counters.pages);
     domain.net.kill(parent);
@@ -263,11 +267,14 @@
     domain.assert_outputs_match_records(at);
     assert_eq!(domain.status(at).counters.mismatches, 0);
     let rest = domain.status(survivor).counters.pages - before;
-    // The same again, undisturbed, tells how many pages a whole snapshot takes.
+    // An uninterrupted catch-up shows how many pages a complete snapshot takes.
     domain.start(at);
     domain.run_ms(5_000);
     domain.assert_converged(publisher);
     let whole = domain.status(survivor).counters.pages - before - rest;
     let window = 16;
-    assert!(sent > 30 && rest + sent <= whole + window, "{sent} and {rest} pages, and {whole} at once");
+    assert!(
+        sent > 30 && rest + sent <= whole + window,
+        "{sent} and {rest} pages, and {whole} without interruption"
+    );
 }
--- a/src/fleet/distribution/tests/wire.rs
+++ b/src/fleet/distribution/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams and noise: what a peer may send, and what that costs.
+//! Random and oversized messages and datagrams from peers.
 
 use super::*;
 use crate::fleet::message::{self, DatagramError};
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_largest_message_fits_into_a_datagram_and_comes_back_whole() {
+fn the_largest_message_fits_into_a_datagram_and_is_decoded_unchanged() {
     let room = PAGE_BYTES - class("", "").size();
     let changes = vec![class("n", &"x".repeat(room - 3))];
     assert!(changes[0].size() >= PAGE_BYTES - 2, "{}", changes[0].size());
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_not_read() {
+fn oversized_datagrams_are_rejected() {
     let message = DistributionMessage::Prepare { fence: 1 };
     let bytes = datagram(FLEET_ID, ProcessId { index: 0, incarnation: 0 }, &vec![message; 1_000]);
     assert!(bytes.len() > message::LARGEST);
@@ -136,9 +136,9 @@
 proptest! {
     #![proptest_config(crate::drawn())]
 
-    /// Whatever comes, from whomever, at whatever time: no crash. A stranger changes nothing.
+    /// No message from any sender at any time causes a panic, and a stranger changes nothing.
     #[test]
-    fn noise_crashes_nobody_and_a_stranger_changes_nothing(
+    fn random_messages_cause_no_panic_and_strangers_change_nothing(
         events in prop::collection::vec((any_message(), 0usize..5, 0u64..70), 1..60),
         trusted in any::<bool>(),
     ) {
@@ -161,19 +161,19 @@
                 prop_assert_eq!(domain.version(at), before);
             }
             prop_assert!(domain.status(publisher).publisher.is_some());
-            // A relay that looks at another parent is that one's child, too, for three seconds of a minute.
+            // A relay that probes another parent is also a child of that one, for three seconds per minute.
             let children = |domain: &mut Domain| {
                 domain.run_ms(1_000);
                 domain.all().iter().map(|at| domain.status(*at).children).sum::<usize>()
             };
             domain.run_ms(3_000);
             let fewest = (0..10).map(|_| children(&mut domain)).min();
-            prop_assert_eq!(fewest, Some(4), "two replicas, a relay and its child: strangers are forgotten");
+            prop_assert_eq!(fewest, Some(4), "two replicas, a relay and its child: strangers are removed");
         }
     }
 
     #[test]
-    fn noise_in_datagrams_is_not_read(noise in prop::collection::vec(any::<u8>(), 0..1_400)) {
+    fn random_bytes_are_rejected_without_a_panic(noise in prop::collection::vec(any::<u8>(), 0..1_400)) {
         prop_assert!(read(FLEET_ID, &noise).is_err());
         let mut framed = vec![];
         framed.extend(b"mgf");
--- a/tests/distribution/days.rs
+++ b/tests/distribution/days.rs
@@ -1,9 +1,9 @@
-//! Days of a distribution domain on which much goes wrong, as a seed draws it: processes are killed, started with nothing,
-//! stopped and continued, sides are cut off, links are ill, and former publishers go on believing that they hold the lease.
-//! A majority of the replicas always lives. The domain holds every process to the rules at every step; at the end all is
-//! well again, and all must come to hold the same.
+//! Random faults, drawn from a seed: processes are killed, restarted without state, suspended and resumed, links are
+//! cut or impaired, and former publishers still believe that they hold the lease. A majority of the replicas is always
+//! alive. The domain checks the invariants of every process at every step; after the last fault has ended, all
+//! processes must end up with the same records.
 
-use crate::behind;
+use crate::lagging_processes;
 use lab::domain::{Domain, Plan};
 use lab::network::Link;
 use mintgate::fleet::distribution::{PublishError, Role, Version};
@@ -12,41 +12,41 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-const LENGTH: Duration = Duration::millis(90_000);
-const STEP: Duration = Duration::millis(250);
+const RUN_LENGTH: Duration = Duration::millis(90_000);
+const STEP_DURATION: Duration = Duration::millis(250);
 
-/// What ends later.
-enum End {
+/// The end of a fault, which is due later.
+enum Recovery {
     Start(Role, usize),
     Continue(Role, usize),
     Heal,
-    Disbelieve(usize),
+    DropLease(usize),
 }
 
-struct Day {
+struct FaultRun {
     domain: Domain,
     rng: SmallRng,
-    ends: Vec<(Timestamp, End)>,
+    recoveries: Vec<(Timestamp, Recovery)>,
     faults: usize,
 }
 
-impl Day {
-    fn later(&mut self, end: End) {
+impl FaultRun {
+    fn schedule_recovery(&mut self, recovery: Recovery) {
         let span = Duration::millis(self.rng.random_range(300..9_000));
-        self.ends.push((self.domain.now() + span, end));
+        self.recoveries.push((self.domain.now() + span, recovery));
     }
 
-    /// Whether a majority that knows all is left without this one.
+    /// Whether a majority that has all committed changes is left without this replica.
     fn may_lose(&self, index: usize) -> bool {
         let replicas = self.domain.plan().replicas;
         let ledger = self.domain.ledger();
         let others = (0..replicas).filter(|other| *other != index);
-        let knowing =
+        let informed =
             others.filter(|other| ledger.is_established(self.domain.address(Role::Replica, *other)));
-        knowing.count() > replicas / 2
+        informed.count() > replicas / 2
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let all = self.domain.all();
         let control = self.domain.control();
         let any = all[self.rng.random_range(0..all.len())];
@@ -56,20 +56,20 @@
         match self.rng.random_range(0..8) {
             0 | 1 if role != Role::Replica || self.may_lose(index) => {
                 self.domain.kill(role, index);
-                self.later(End::Start(role, index));
+                self.schedule_recovery(Recovery::Start(role, index));
             }
-            // Started at once, with nothing.
+            // Restarted at once, without any state.
             2 if role != Role::Replica || self.may_lose(index) => self.domain.start(role, index),
             3 => {
                 let (role, index) = if any.0 == Role::Replica { (role, index) } else { any };
                 self.domain.stop(role, index, true);
-                self.later(End::Continue(role, index));
+                self.schedule_recovery(Recovery::Continue(role, index));
             }
             4 => {
                 let share = self.rng.random_range(0.1..0.6);
                 let side = all.into_iter().filter(|_| self.rng.random_bool(share)).collect();
                 self.domain.cut(&[side]);
-                self.later(End::Heal);
+                self.schedule_recovery(Recovery::Heal);
             }
             5 => {
                 let link = Link {
@@ -80,35 +80,35 @@
                     ..Link::default()
                 };
                 self.domain.set_all_links(link);
-                self.later(End::Heal);
+                self.schedule_recovery(Recovery::Heal);
             }
             6 => {
                 let link =
                     Link { delay: Duration::millis(self.rng.random_range(50..800)), ..Link::default() };
                 self.domain.set_links_of(role, index, link);
-                self.later(End::Heal);
+                self.schedule_recovery(Recovery::Heal);
             }
             _ => {
-                // A clock that stood still, or a lease service that failed: a former holder still believes.
+                // A suspended clock or a failed lease service: a former holder still believes that it has the lease.
                 let Some(fence) = self.domain.fence_of(replica) else { return };
                 let until = self.domain.now() + Duration::millis(20_000);
                 self.domain.believe(replica, Some(LeaseGrant { fence, until }));
                 let change = self.domain.touch(1);
                 self.domain.publish_at(replica, change);
-                self.later(End::Disbelieve(replica));
+                self.schedule_recovery(Recovery::DropLease(replica));
             }
         }
     }
 
-    fn end(&mut self, end: End) {
-        match end {
-            End::Start(role, index) if self.domain.process(role, index).is_none() => {
+    fn recover(&mut self, recovery: Recovery) {
+        match recovery {
+            Recovery::Start(role, index) if self.domain.process(role, index).is_none() => {
                 self.domain.start(role, index);
             }
-            End::Start(..) => {}
-            End::Continue(role, index) => self.domain.stop(role, index, false),
-            End::Heal => self.domain.heal(),
-            End::Disbelieve(replica) => {
+            Recovery::Start(..) => {}
+            Recovery::Continue(role, index) => self.domain.stop(role, index, false),
+            Recovery::Heal => self.domain.heal(),
+            Recovery::DropLease(replica) => {
                 if self.domain.holder() != Some(replica) {
                     self.domain.believe(replica, None);
                 }
@@ -116,20 +116,20 @@
         }
     }
 
-    fn end_due(&mut self) {
+    fn recover_due(&mut self) {
         let now = self.domain.now();
-        let (due, rest) = std::mem::take(&mut self.ends).into_iter().partition(|(at, _)| *at <= now);
-        self.ends = rest;
-        for (_, end) in due {
-            self.end(end);
+        let (due, rest) = std::mem::take(&mut self.recoveries).into_iter().partition(|(at, _)| *at <= now);
+        self.recoveries = rest;
+        for (_, recovery) in due {
+            self.recover(recovery);
         }
     }
 
-    fn play(&mut self) {
-        let end = self.domain.now() + LENGTH;
+    fn run(&mut self) {
+        let end = self.domain.now() + RUN_LENGTH;
         while self.domain.now() < end {
             if self.rng.random_bool(0.2) {
-                self.fault();
+                self.inject_fault();
             }
             let count = self.rng.random_range(1..5);
             let mut changes = self.domain.touch(count);
@@ -138,19 +138,19 @@
                 changes.extend(self.domain.remove_worker(worker));
             }
             self.domain.publish(changes);
-            self.domain.run(STEP);
-            self.end_due();
+            self.domain.run(STEP_DURATION);
+            self.recover_due();
         }
-        for (_, end) in std::mem::take(&mut self.ends) {
-            self.end(end);
+        for (_, recovery) in std::mem::take(&mut self.recoveries) {
+            self.recover(recovery);
         }
         self.domain.heal();
     }
 }
 
-/// Publishes a change. The last fault may have ended a moment ago, and the lease with it: then the next holder publishes,
-/// as the source's daemon has it do, and there is one within two terms.
-fn publish_at_last(domain: &mut Domain) -> Option<Result<Version, PublishError>> {
+/// Publishes a change. The last fault may have ended a moment ago, and the lease with it; then the next holder
+/// publishes, as the daemon of the source does. There is a holder within two terms.
+fn publish_after_last_fault(domain: &mut Domain) -> Option<Result<Version, PublishError>> {
     let limit = domain.now() + Duration(2 * domain.plan().term.0);
     loop {
         let change = domain.touch(1);
@@ -158,12 +158,12 @@
         if outcome != Some(Err(PublishError::NotPublisher)) || domain.now() >= limit {
             return outcome;
         }
-        domain.run(STEP);
+        domain.run(STEP_DURATION);
     }
 }
 
-/// Who holds the lease as the lease service has it, and what each replica takes itself for.
-fn lease(domain: &Domain) -> String {
+/// Describes the state of the lease at the lease service, and what each replica believes about it.
+fn describe_lease(domain: &Domain) -> String {
     let (now, holder, fence) = (domain.now(), domain.holder(), domain.fence());
     let status = |index| {
         let process = domain.process(Role::Replica, index)?;
@@ -176,47 +176,53 @@
     )
 }
 
-fn play(seed: u64, plan: Plan) {
+fn run_seed(seed: u64, plan: Plan) {
     let mut domain = Domain::new(Plan { seed, ..plan });
     domain.run(Duration::millis(1_000));
     domain.fill().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-    let mut day = Day { domain, rng: SmallRng::seed_from_u64(seed), ends: vec![], faults: 0 };
-    day.play();
-    let settled = day.domain.settle(Duration::millis(30_000));
-    // Whoever publishes still does.
-    let lease = lease(&day.domain);
-    let last = publish_at_last(&mut day.domain);
-    let settled = settled && day.domain.settle(Duration::millis(5_000));
-    let broken = day.domain.audit();
+    let mut fault_run =
+        FaultRun { domain, rng: SmallRng::seed_from_u64(seed), recoveries: vec![], faults: 0 };
+    fault_run.run();
+    let settled = fault_run.domain.settle(Duration::millis(30_000));
+    // The current publisher still publishes.
+    let lease = describe_lease(&fault_run.domain);
+    let last = publish_after_last_fault(&mut fault_run.domain);
+    let settled = settled && fault_run.domain.settle(Duration::millis(5_000));
+    let broken = fault_run.domain.audit();
     assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-    assert!(matches!(last, Some(Ok(_))), "seed {seed}: {last:?}; when it was asked for: {lease}");
-    assert!(settled, "seed {seed}: not at {:?}: {:#?}", day.domain.ledger().head(), behind(&day.domain));
-    assert_eq!(day.domain.ledger().eras(), 1, "seed {seed}: the majority's state was lost");
-    assert!(day.faults > 30, "seed {seed}: {} faults", day.faults);
+    assert!(matches!(last, Some(Ok(_))), "seed {seed}: {last:?}; the lease before it was published: {lease}");
+    assert!(
+        settled,
+        "seed {seed}: not all processes have {:?}: {:#?}",
+        fault_run.domain.ledger().head(),
+        lagging_processes(&fault_run.domain)
+    );
+    assert_eq!(fault_run.domain.ledger().eras(), 1, "seed {seed}: the state of the majority was lost");
+    assert!(fault_run.faults > 30, "seed {seed}: {} faults", fault_run.faults);
 }
 
-/// As many days as `DISTRIBUTION_DAYS` says, or the usual number; from the `DISTRIBUTION_SKIP`th on.
-fn play_all(first: u64, usual: u64, plan: Plan) {
+/// Runs the default number of seeds, or as many as `DISTRIBUTION_DAYS` says, after skipping `DISTRIBUTION_SKIP` seeds.
+fn run_seeds(first: u64, default_count: u64, plan: Plan) {
     let number = |name| std::env::var(name).ok().and_then(|count| count.parse().ok());
     let (count, skip) =
-        (number("DISTRIBUTION_DAYS").unwrap_or(usual), number("DISTRIBUTION_SKIP").unwrap_or(0));
+        (number("DISTRIBUTION_DAYS").unwrap_or(default_count), number("DISTRIBUTION_SKIP").unwrap_or(0));
     for seed in first + skip..first + skip + count {
-        play(seed, plan.clone());
+        run_seed(seed, plan.clone());
     }
 }
 
 #[test]
-fn days_of_three_replicas_end_well() {
-    play_all(10_000, 20, Plan { replicas: 3, relays: 3, subscribers: 16, workers: 300, ..Plan::default() });
+fn random_faults_with_three_replicas_converge() {
+    run_seeds(10_000, 20, Plan { replicas: 3, relays: 3, subscribers: 16, workers: 300, ..Plan::default() });
 }
 
 #[test]
-fn days_of_five_replicas_in_two_regions_end_well() {
+fn random_faults_with_five_replicas_in_two_regions_converge() {
     let plan = Plan { replicas: 5, relays: 4, subscribers: 16, workers: 300, regions: 2, ..Plan::default() };
-    play_all(20_000, 24, plan);
+    run_seeds(20_000, 24, plan);
 }
 
 #[test]
-fn days_without_relays_end_well() {
-    play_all(30_000, 20, Plan { replicas: 3, relays: 0, subscribers: 12, workers: 300, ..Plan::default() });
+fn random_faults_without_relays_converge() {
+    run_seeds(30_000, 20, Plan { replicas: 3, relays: 0, subscribers: 12, workers: 300, ..Plan::default() });
 }
--- a/tests/distribution/failures.rs
+++ b/tests/distribution/failures.rs
@@ -1,45 +1,45 @@
-//! Processes, links and regions that fail.
+//! Failures of processes, links and regions.
 
 use crate::*;
 use lab::network::Link;
 use mintgate::fleet::lease::LeaseGrant;
 
 #[test]
-fn a_parent_killed_in_mid_snapshot_leaves_its_children_whole() {
+fn a_parent_killed_in_mid_snapshot_leaves_its_children_consistent() {
     for seed in SEEDS {
         let plan =
             Plan { workers: 4_000, zones: 2, catch_up_bytes_per_second: 100_000, seed, ..Plan::default() };
-        let mut domain = filled(plan);
+        let mut domain = filled_domain(plan);
         let subscribers = all_of(Role::Subscriber, 0..40);
         for (role, index) in &subscribers {
             domain.start(*role, *index);
         }
         domain.run(Duration::millis(1_000 + 100 * (seed % 7)));
         let victim = domain.address(Role::Relay, 0);
-        let caught: Vec<usize> = (0..40)
+        let interrupted: Vec<usize> = (0..40)
             .filter(|index| parent_of(&domain, Role::Subscriber, *index) == Some(victim))
             .filter(|index| {
                 let process = domain.process(Role::Subscriber, *index).unwrap();
                 process.pages() > 2 && process.installs().is_empty()
             })
             .collect();
-        assert!(caught.len() >= 3, "seed {seed}: {} children were in mid-snapshot", caught.len());
+        assert!(interrupted.len() >= 3, "seed {seed}: {} children were in mid-snapshot", interrupted.len());
         domain.kill(Role::Relay, 0);
         let change = domain.touch(1);
-        published(&mut domain, change);
-        ends_well(&mut domain, seconds(60));
+        publish_committed(&mut domain, change);
+        assert_converges(&mut domain, seconds(60));
         let whole = |index: &usize| domain.process(Role::Subscriber, *index).unwrap().installs().len();
-        assert!(caught.iter().all(|index| whole(index) >= 1), "seed {seed}");
+        assert!(interrupted.iter().all(|index| whole(index) >= 1), "seed {seed}");
     }
 }
 
 #[test]
-fn children_keep_their_state_while_all_control_processes_are_gone_and_come_back_empty() {
+fn children_keep_their_state_while_all_control_processes_are_down_and_restart_empty() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         let change = domain.touch(3);
-        published(&mut domain, change);
-        ends_well(&mut domain, seconds(5));
+        publish_committed(&mut domain, change);
+        assert_converges(&mut domain, seconds(5));
         let before = versions(&domain);
         for (role, index) in domain.control() {
             domain.kill(role, index);
@@ -54,17 +54,21 @@
             domain.start(role, index);
         }
         domain.run(seconds(10));
-        assert_eq!(versions(&domain), before, "seed {seed}: something was taken from empty parents");
+        assert_eq!(
+            versions(&domain),
+            before,
+            "seed {seed}: something was installed from parents without state"
+        );
         let changes = |domain: &Domain| -> Vec<u64> {
             domain.running(Role::Subscriber).map(|(_, process)| process.changes()).collect()
         };
         let counted = changes(&domain);
         let moved = domain.touch_worker(5);
         domain.fill().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-        ends_well(&mut domain, seconds(60));
+        assert_converges(&mut domain, seconds(60));
         assert_eq!(domain.ledger().eras(), 2, "seed {seed}");
         for (index, (now, before)) in changes(&domain).into_iter().zip(counted).enumerate() {
-            // Only what differs comes into force, though the whole list was sent.
+            // Only the difference is installed, although the complete list was sent.
             let wanted = u64::from(domain.interest(index).covers(moved.topic));
             assert_eq!(now - before, wanted, "seed {seed}: at subscriber {index}");
             let status = domain.process(Role::Subscriber, index).unwrap().node().status(domain.now());
@@ -74,16 +78,16 @@
 }
 
 #[test]
-fn a_batch_of_a_publisher_on_the_minoritys_side_never_stands() {
+fn a_batch_of_a_publisher_in_the_minority_is_never_committed() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { replicas: 5, seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { replicas: 5, seed, ..Plan::default() });
         domain.look_after_lease(false);
         let old = domain.holder().unwrap();
-        let (mate, new) = ((old + 1) % 5, (old + 2) % 5);
+        let (companion, new) = ((old + 1) % 5, (old + 2) % 5);
         let fence = domain.fence();
-        // The lease service has failed: both believe that they hold the lease, for as long as the test lasts.
+        // The lease service has failed: both replicas believe that they hold the lease until the end of the test.
         domain.believe(old, Some(LeaseGrant { fence, until: domain.now() + seconds(3_600) }));
-        let mut side = vec![(Role::Replica, old), (Role::Replica, mate)];
+        let mut side = vec![(Role::Replica, old), (Role::Replica, companion)];
         side.extend(all_of(Role::Relay, 0..2));
         side.extend(all_of(Role::Subscriber, 0..20));
         domain.cut(&[side]);
@@ -96,9 +100,9 @@
         domain.run(seconds(10));
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
         assert!(!matches!(domain.outcome(refused), Some(Ok(_))), "seed {seed}");
-        assert!(!anybody_holds(&domain, &lost), "seed {seed}");
+        assert!(!any_process_has(&domain, &lost), "seed {seed}");
         domain.heal();
-        // The old one goes on trying.
+        // The old publisher keeps trying.
         let late = domain.touch_worker(2);
         let late_ticket = domain.publish_at(old, vec![late.clone()]);
         domain.run(seconds(10));
@@ -109,25 +113,26 @@
                 domain.outcome(ticket)
             );
         }
-        assert!(!anybody_holds(&domain, &lost) && !anybody_holds(&domain, &late), "seed {seed}");
+        assert!(!any_process_has(&domain, &lost) && !any_process_has(&domain, &late), "seed {seed}");
         let next = domain.touch_worker(3);
         let ticket = domain.publish_at(new, vec![next]);
         domain.run(seconds(2));
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
-        ends_well(&mut domain, seconds(10));
-        assert!((0..5).all(|index| holds(&domain, Role::Replica, index, &stands)), "seed {seed}");
+        assert_converges(&mut domain, seconds(10));
+        assert!((0..5).all(|index| has_record(&domain, Role::Replica, index, &stands)), "seed {seed}");
     }
 }
 
 #[test]
 fn of_two_publishers_that_reach_the_same_replica_only_the_later_one_commits() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         domain.look_after_lease(false);
         let old = domain.holder().unwrap();
         let new = (old + 1) % 3;
         let fence = domain.fence();
-        // Both believe that they hold the lease, and do not hear of each other: only the third can tell.
+        // Both believe that they hold the lease, and cannot reach each other: only the third replica can reject one of
+        // them.
         domain.believe(old, Some(LeaseGrant { fence, until: domain.now() + seconds(3_600) }));
         let (one, other) = (domain.address(Role::Replica, old), domain.address(Role::Replica, new));
         let cut = Link { cut: true, ..Link::default() };
@@ -135,15 +140,15 @@
         domain.set_link(other, one, cut);
         domain.grant(new, seconds(3_600));
         domain.run(Duration::millis(5));
-        let (mut refused, mut stood) = (vec![], vec![]);
+        let (mut refused, mut committed) = (vec![], vec![]);
         for round in 0..40 {
             let (wrong, right) = (domain.touch_worker(2 * round), domain.touch_worker(2 * round));
             if round % 2 == 0 {
                 refused.push((domain.publish_at(old, vec![wrong.clone()]), wrong));
                 domain.run(Duration(100_000 * (round % 7)));
-                stood.push(domain.publish_at(new, vec![right]));
+                committed.push(domain.publish_at(new, vec![right]));
             } else {
-                stood.push(domain.publish_at(new, vec![right]));
+                committed.push(domain.publish_at(new, vec![right]));
                 domain.run(Duration(100_000 * (round % 7)));
                 refused.push((domain.publish_at(old, vec![wrong.clone()]), wrong));
             }
@@ -151,10 +156,13 @@
         }
         domain.run(seconds(2));
         for (ticket, change) in &refused {
-            assert!(!matches!(domain.outcome(*ticket), Some(Ok(_))), "seed {seed}: the old one published");
-            assert!(!anybody_holds(&domain, change), "seed {seed}: {change:?} is in force");
+            assert!(
+                !matches!(domain.outcome(*ticket), Some(Ok(_))),
+                "seed {seed}: the superseded publisher committed it"
+            );
+            assert!(!any_process_has(&domain, change), "seed {seed}: {change:?} is installed");
         }
-        for ticket in stood {
+        for ticket in committed {
             assert!(
                 matches!(domain.outcome(ticket), Some(Ok(_))),
                 "seed {seed}: {:?}",
@@ -162,20 +170,20 @@
             );
         }
         domain.heal();
-        ends_well(&mut domain, seconds(10));
+        assert_converges(&mut domain, seconds(10));
     }
 }
 
 #[test]
-fn a_batch_that_a_majority_has_accepted_stands_though_its_publisher_was_stopped() {
+fn a_batch_accepted_by_a_majority_is_committed_though_its_publisher_was_suspended() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         domain.look_after_lease(false);
         let old = domain.holder().unwrap();
         let new = (old + 1) % 3;
         let open = domain.touch_worker(1);
         let ticket = domain.publish_at(old, vec![open.clone()]);
-        // Accepted by the two others, and not yet known to the publisher.
+        // The other two replicas accept the batch, but the publisher does not know yet.
         domain.stop(Role::Replica, old, true);
         domain.run(seconds(3));
         assert_eq!(domain.outcome(ticket), None, "seed {seed}");
@@ -185,79 +193,88 @@
         domain.run(seconds(5));
         assert!(matches!(domain.outcome(next_ticket), Some(Ok(_))), "seed {seed}");
         for change in [&open, &next] {
-            assert!(holds(&domain, Role::Replica, new, change), "seed {seed}: {change:?} was accepted");
+            assert!(has_record(&domain, Role::Replica, new, change), "seed {seed}: {change:?} was accepted");
         }
         domain.stop(Role::Replica, old, false);
         domain.run(seconds(1));
         domain.believe(old, None);
-        ends_well(&mut domain, seconds(10));
-        assert!(domain.outcome(ticket).is_some(), "seed {seed}: the old publisher never answered");
+        assert_converges(&mut domain, seconds(10));
+        assert!(domain.outcome(ticket).is_some(), "seed {seed}: the old publisher never reported an outcome");
     }
 }
 
 #[test]
-fn what_was_acknowledged_outlives_a_replica_that_lost_all_and_one_that_lags() {
+fn acknowledged_changes_survive_a_replica_without_state_and_a_lagging_one() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         domain.look_after_lease(false);
         let old = domain.holder().unwrap();
-        let (accepts, lags) = ((old + 1) % 3, (old + 2) % 3);
+        let (accepting, lagging) = ((old + 1) % 3, (old + 2) % 3);
         domain.grant(old, seconds(3));
-        // One replica hears nothing of a change that the two others commit.
-        domain.set_links_of(Role::Replica, lags, Link { cut: true, ..Link::default() });
+        // One replica does not receive a change that the other two commit.
+        domain.set_links_of(Role::Replica, lagging, Link { cut: true, ..Link::default() });
         let change = domain.touch_worker(1);
-        published(&mut domain, vec![change.clone()]);
-        // Then one of the two starts with nothing, and the one that lags becomes the publisher, while the third, which
-        // knows all and lives, is slow to answer.
-        domain.start(Role::Replica, accepts);
+        publish_committed(&mut domain, vec![change.clone()]);
+        // Then one of these two restarts without state, and the lagging one becomes the publisher, while the third one,
+        // which has all changes and is alive, is slow to reply.
+        domain.start(Role::Replica, accepting);
         domain.heal();
         let slow = Link { delay: Duration::millis(400), ..Link::default() };
         domain.set_links_of(Role::Replica, old, slow);
         domain.run(seconds(3));
         domain.believe(old, None);
-        domain.grant(lags, seconds(3_600));
+        domain.grant(lagging, seconds(3_600));
         let next = domain.touch_worker(2);
-        let ticket = domain.publish_at(lags, vec![next]);
+        let ticket = domain.publish_at(lagging, vec![next]);
         domain.run(seconds(10));
         domain.heal();
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
-        ends_well(&mut domain, seconds(10));
-        assert!(holds(&domain, Role::Replica, lags, &change), "seed {seed}: an acknowledged change is lost");
+        assert_converges(&mut domain, seconds(10));
+        assert!(
+            has_record(&domain, Role::Replica, lagging, &change),
+            "seed {seed}: an acknowledged change is lost"
+        );
     }
 }
 
 #[test]
-fn a_publisher_that_lags_does_not_go_on_without_the_majority_that_lives() {
+fn a_lagging_publisher_waits_for_the_majority_that_is_alive() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         domain.look_after_lease(false);
         let old = domain.holder().unwrap();
-        let (accepts, lags) = ((old + 1) % 3, (old + 2) % 3);
+        let (accepting, lagging) = ((old + 1) % 3, (old + 2) % 3);
         domain.grant(old, seconds(3));
         let cut = Link { cut: true, ..Link::default() };
-        domain.set_links_of(Role::Replica, lags, cut);
+        domain.set_links_of(Role::Replica, lagging, cut);
         let change = domain.touch_worker(1);
-        published(&mut domain, vec![change.clone()]);
-        // As before, but the one that knows all can't be reached for half a minute. It lives, and so does the one that lags:
-        // together they are the majority without which nothing may be committed.
-        domain.start(Role::Replica, accepts);
+        publish_committed(&mut domain, vec![change.clone()]);
+        // As in the previous test, but the replica that has all changes is unreachable for half a minute. It is alive,
+        // and so is the lagging one: together they are the majority without which nothing may be committed.
+        domain.start(Role::Replica, accepting);
         domain.heal();
         domain.set_links_of(Role::Replica, old, cut);
         domain.run(seconds(3));
         domain.believe(old, None);
-        domain.grant(lags, seconds(3_600));
+        domain.grant(lagging, seconds(3_600));
         let next = domain.touch_worker(2);
-        let ticket = domain.publish_at(lags, vec![next]);
+        let ticket = domain.publish_at(lagging, vec![next]);
         domain.run(seconds(30));
-        assert!(!matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: published by one that lags");
+        assert!(
+            !matches!(domain.outcome(ticket), Some(Ok(_))),
+            "seed {seed}: published by a lagging replica"
+        );
         domain.heal();
         domain.run(seconds(5));
         let again = domain.touch_worker(3);
-        let again = domain.publish_at(lags, vec![again]);
+        let again = domain.publish_at(lagging, vec![again]);
         domain.run(seconds(5));
         assert!(matches!(domain.outcome(again), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(again));
-        ends_well(&mut domain, seconds(10));
-        assert!(holds(&domain, Role::Replica, lags, &change), "seed {seed}: an acknowledged change is lost");
+        assert_converges(&mut domain, seconds(10));
+        assert!(
+            has_record(&domain, Role::Replica, lagging, &change),
+            "seed {seed}: an acknowledged change is lost"
+        );
     }
 }
 
@@ -265,9 +282,9 @@
 fn a_region_cut_off_for_an_hour_changes_nothing_and_catches_up_by_changes() {
     for seed in SEEDS {
         let plan = Plan { replicas: 5, subscribers: 20, workers: 1_000, regions: 2, seed, ..Plan::default() };
-        let mut domain = filled(plan);
-        // Region 1, by the numbers of processes: the replicas 1 and 3, and half of all others.
-        let odd = |(role, index): &(Role, usize)| {
+        let mut domain = filled_domain(plan);
+        // Region 1 contains the processes with odd numbers: replicas 1 and 3, and half of all others.
+        let in_region_one = |(role, index): &(Role, usize)| {
             let first = match role {
                 Role::Replica => 0,
                 Role::Relay => 5,
@@ -275,7 +292,7 @@
             };
             (first + index) % 2 == 1
         };
-        let side: Vec<(Role, usize)> = domain.all().into_iter().filter(odd).collect();
+        let side: Vec<(Role, usize)> = domain.all().into_iter().filter(in_region_one).collect();
         let subscriber = side.iter().find(|(role, _)| *role == Role::Subscriber).unwrap().1;
         domain.cut(std::slice::from_ref(&side));
         domain.run(seconds(5));
@@ -285,9 +302,10 @@
             let mut changes = domain.touch(2);
             changes.extend(domain.remove_worker(900 + round));
             let asked = domain.now();
-            let version = published(&mut domain, changes);
+            let version = publish_committed(&mut domain, changes);
             let minority = domain.touch_worker(round);
-            // The minority's replica tries as one that knows that it is no publisher, and as one that believes it is.
+            // The replica in the minority tries to publish, both when it knows that it is no publisher and when it
+            // believes that it is one.
             if round % 4 == 1 {
                 domain.believe(1, Some(LeaseGrant { fence, until: domain.now() + seconds(100) }));
             }
@@ -305,25 +323,25 @@
         assert!(age.is_some_and(|age| age > seconds(3_500)), "seed {seed}: the age shown is {age:?}");
         let pages = cut_off.pages();
         domain.heal();
-        ends_well(&mut domain, seconds(10));
+        assert_converges(&mut domain, seconds(10));
         for (ticket, change) in refused {
             assert!(
                 matches!(domain.outcome(ticket), Some(Err(_))),
                 "seed {seed}: {:?}",
                 domain.outcome(ticket)
             );
-            assert!(!anybody_holds(&domain, &change), "seed {seed}: {change:?} was refused");
+            assert!(!any_process_has(&domain, &change), "seed {seed}: {change:?} was refused");
         }
-        // 36 changes at most, of a zone with 250 workers: a page or two, and no whole list.
+        // There are at most 36 changes in a zone of 250 workers: one or two pages rather than a complete list.
         let pages = domain.process(Role::Subscriber, subscriber).unwrap().pages() - pages;
         assert!((1..=3).contains(&pages), "seed {seed}: {pages} pages");
     }
 }
 
 #[test]
-fn lost_repeated_reordered_spoilt_and_late_datagrams_delay_and_break_nothing() {
+fn lost_repeated_reordered_corrupt_and_late_datagrams_only_cause_delays() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         for (loss, jitter, rounds) in [(0.1, 200, 150), (0.4, 50, 100), (0.05, 1_500, 100)] {
             let jitter = Duration::millis(jitter);
             domain.set_all_links(Link { loss, repeat: 0.2, spoil: 0.05, jitter, ..Link::default() });
@@ -334,20 +352,24 @@
             }
         }
         domain.heal();
-        ends_well(&mut domain, seconds(15));
-        // What was given to a publisher stands, or it was said that it doesn't.
+        assert_converges(&mut domain, seconds(15));
+        // Each publication was committed, or reported as failed.
         let answered = (1..).map_while(|ticket| domain.ledger().asked(ticket).cloned());
         let (some, none): (Vec<_>, Vec<_>) = answered.partition(|asked| asked.outcome.is_some());
-        assert!(none.is_empty(), "seed {seed}: {} publications were never answered", none.len());
-        let stood = some.iter().filter(|asked| matches!(asked.outcome, Some((_, Ok(_))))).count();
-        assert!(stood * 10 >= some.len() * 9, "seed {seed}: {stood} of {} were published", some.len());
+        assert!(none.is_empty(), "seed {seed}: {} publications have no outcome", none.len());
+        let committed = some.iter().filter(|asked| matches!(asked.outcome, Some((_, Ok(_))))).count();
+        assert!(
+            committed * 10 >= some.len() * 9,
+            "seed {seed}: {committed} of {} were published",
+            some.len()
+        );
     }
 }
 
 #[test]
-fn a_process_stopped_for_ten_seconds_goes_on_where_the_others_are() {
+fn a_process_suspended_for_ten_seconds_catches_up() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { seed, ..Plan::default() });
+        let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         let publisher = domain.holder().unwrap();
         for (role, index) in [(Role::Subscriber, 4), (Role::Relay, 1), (Role::Replica, publisher)] {
             domain.stop(role, index, true);
@@ -358,18 +380,18 @@
                 domain.run(Duration::millis(500));
             }
             domain.stop(role, index, false);
-            ends_well(&mut domain, seconds(5));
-            let stood: Vec<u64> =
+            assert_converges(&mut domain, seconds(5));
+            let committed: Vec<u64> =
                 asked.into_iter().filter(|ticket| matches!(domain.outcome(*ticket), Some(Ok(_)))).collect();
-            // A publisher's place is taken when its lease has ended.
-            assert!(stood.len() >= if role == Role::Replica { 12 } else { 20 }, "seed {seed}: {role:?}");
+            // A publisher is replaced once its lease has expired.
+            assert!(committed.len() >= if role == Role::Replica { 12 } else { 20 }, "seed {seed}: {role:?}");
             if role == Role::Subscriber {
                 let stopped = domain.address(role, index);
-                for ticket in stood {
+                for ticket in committed {
                     let asked = domain.ledger().asked(ticket).cloned().unwrap();
                     let Some((_, Ok(version))) = asked.outcome else { continue };
                     let reach = domain.reach(asked.at, version, |at, _| at != stopped);
-                    assert!(reach.missing == 0 && reach.last < SECOND, "seed {seed}: {reach:?}");
+                    assert!(reach.missing == 0 && reach.last < ONE_SECOND, "seed {seed}: {reach:?}");
                 }
             }
         }
--- a/tests/distribution/load.rs
+++ b/tests/distribution/load.rs
@@ -1,25 +1,28 @@
-//! Many at once, bursts, slow ones and dead ones: what it costs, and whom.
+//! Many restarts at once, bursts of changes, slow and dead processes: their cost, and whom they delay.
 
 use crate::*;
 use lab::network::Link;
 use mintgate::Timestamp;
 
-/// What a control process may send in a second while others catch up: its rate for catch-ups and a quarter of it at once,
-/// and two answers of 100 bytes a second for each child.
-fn bound(domain: &Domain, children: usize) -> u64 {
+/// The bytes that a control process may send per second while others catch up: its catch-up rate plus a burst of a
+/// quarter of it, and two replies of 100 bytes per second for each child.
+fn peak_limit(domain: &Domain, children: usize) -> u64 {
     domain.plan().catch_up_bytes_per_second * 5 / 4 + children as u64 * 200
 }
 
 #[track_caller]
-fn peaks_stay_under(domain: &Domain, bound: u64) {
+fn assert_peaks_below(domain: &Domain, peak_limit: u64) {
     let seed = domain.plan().seed;
     for (at, bytes) in domain.peaks() {
-        assert!(*bytes <= bound, "seed {seed}: {at} sent {bytes} bytes in a second, {bound} are allowed");
+        assert!(
+            *bytes <= peak_limit,
+            "seed {seed}: {at} sent {bytes} bytes in a second, {peak_limit} are allowed"
+        );
     }
 }
 
 #[test]
-fn a_third_of_the_schedulers_restarted_at_once_is_served_at_a_pace_and_costs_the_others_nothing() {
+fn catch_ups_of_a_third_of_the_schedulers_are_rate_limited_and_do_not_delay_the_others() {
     for seed in SEEDS {
         let plan = Plan {
             subscribers: 300,
@@ -28,7 +31,7 @@
             seed,
             ..Plan::default()
         };
-        let mut domain = filled(plan);
+        let mut domain = filled_domain(plan);
         domain.run(seconds(2));
         domain.forget_peaks();
         for index in (0..300).step_by(3) {
@@ -38,21 +41,21 @@
         domain.run(Duration::millis(700));
         let change = domain.touch(4);
         let since = domain.now();
-        let version = published(&mut domain, change);
+        let version = publish_committed(&mut domain, change);
         assert!(!domain.all_have_head(), "seed {seed}: the catch-up was over too soon to test anything");
-        ends_well(&mut domain, seconds(60));
-        peaks_stay_under(&domain, bound(&domain, 300));
+        assert_converges(&mut domain, seconds(60));
+        assert_peaks_below(&domain, peak_limit(&domain, 300));
         let restarted =
             |at: SocketAddr| (0..300).step_by(3).any(|n| domain.address(Role::Subscriber, n) == at);
         let others = domain.reach(since, version, |at, _| !restarted(at));
-        assert!(others.missing == 0 && others.last < SECOND, "seed {seed}: {others:?}");
+        assert!(others.missing == 0 && others.last < ONE_SECOND, "seed {seed}: {others:?}");
         let all = domain.reach(asked, version, |_, _| true);
         assert!(all.missing == 0 && all.last < seconds(20), "seed {seed}: {all:?}");
     }
 }
 
 #[test]
-fn nine_hundred_schedulers_come_back_at_once() {
+fn nine_hundred_schedulers_catch_up_at_once() {
     for seed in SEEDS {
         let plan = Plan {
             relays: 6,
@@ -62,7 +65,7 @@
             seed,
             ..Plan::default()
         };
-        let mut domain = filled(plan);
+        let mut domain = filled_domain(plan);
         for index in 0..900 {
             domain.kill(Role::Subscriber, index);
         }
@@ -72,16 +75,16 @@
             domain.start(Role::Subscriber, index);
         }
         let since = domain.now();
-        ends_well(&mut domain, seconds(60));
+        assert_converges(&mut domain, seconds(60));
         let head = domain.ledger().head();
         let reach = domain.reach(since, head, |_, _| true);
         assert!(reach.of == 900 && reach.missing == 0 && reach.last < seconds(30), "seed {seed}: {reach:?}");
-        peaks_stay_under(&domain, bound(&domain, 900));
-        // A whole list is sent once: hardly anything is sent again.
+        assert_peaks_below(&domain, peak_limit(&domain, 900));
+        // The complete list is sent once; hardly any page is sent again.
         let pages: Vec<u64> = domain.running(Role::Subscriber).map(|(_, process)| process.pages()).collect();
         let (least, sum) = (pages.iter().min().unwrap(), pages.iter().sum::<u64>());
         assert!(sum * 4 <= least * 900 * 5, "seed {seed}: {least} pages are a whole list, {sum} were sent");
-        // They spread over the relays.
+        // The subscribers spread over the relays.
         for index in 0..6 {
             let children = domain.process(Role::Relay, index).unwrap().node().status(domain.now()).children;
             assert!((75..=300).contains(&children), "seed {seed}: relay {index} has {children} children");
@@ -90,28 +93,28 @@
 }
 
 #[test]
-fn a_zone_whose_workers_are_all_replaced_at_once_is_in_force_in_time() {
+fn a_change_of_all_workers_of_a_zone_is_installed_in_time() {
     for seed in SEEDS {
         // A zone of the size designed for: 46,000 workers in 20 zones.
         let plan = Plan { replicas: 5, subscribers: 100, workers: 4_600, zones: 2, seed, ..Plan::default() };
-        let mut domain = filled(plan);
+        let mut domain = filled_domain(plan);
         let changes: Vec<Change> = (0..4_600).step_by(2).map(|worker| domain.touch_worker(worker)).collect();
         let ticket = domain.publish(changes);
         domain.run(seconds(10));
         let reach = domain.reach_of(ticket);
         let in_time = |reach: &lab::domain::Reach| reach.missing == 0 && reach.last < seconds(6);
         assert!(reach.as_ref().is_some_and(in_time), "seed {seed}: {reach:?}");
-        ends_well(&mut domain, seconds(5));
+        assert_converges(&mut domain, seconds(5));
     }
 }
 
 #[test]
-fn a_burst_of_ten_times_the_mean_rate_is_in_force_in_time() {
+fn a_burst_of_ten_times_the_mean_rate_is_installed_in_time() {
     for seed in SEEDS {
-        let mut domain = filled(Plan { subscribers: 200, workers: 1_000, seed, ..Plan::default() });
-        // 67,000 changes a day are 0.78 a second.
+        let mut domain = filled_domain(Plan { subscribers: 200, workers: 1_000, seed, ..Plan::default() });
+        // 67,000 changes per day are 0.78 per second.
         let mut tickets = vec![];
-        let mut most = 0.0_f64;
+        let mut longest = 0.0_f64;
         for _ in 0..60 {
             for _ in 0..8 {
                 let change = domain.touch(1);
@@ -119,34 +122,36 @@
                 domain.run(Duration::millis(128 - seed % 5));
             }
             let [_, _, subscribers] = domain.measure(Duration::millis(20));
-            most = most.max(subscribers.bytes_max);
+            longest = longest.max(subscribers.bytes_max);
         }
         let [_, _, calm] = domain.measure(seconds(10));
         assert!(calm.bytes_max < 2_000.0, "seed {seed}: {calm:?}");
-        ends_well(&mut domain, seconds(5));
+        assert_converges(&mut domain, seconds(5));
         for ticket in tickets {
             let reach = domain.reach_of(ticket);
             let in_time = |reach: &lab::domain::Reach| {
-                reach.missing == 0 && reach.percentile_99 < SECOND && reach.last < seconds(6)
+                reach.missing == 0 && reach.percentile_99 < ONE_SECOND && reach.last < seconds(6)
             };
             assert!(reach.as_ref().is_some_and(in_time), "seed {seed}: {reach:?}");
         }
     }
 }
 
-/// Plays thirty changes over 15 s with one subscriber like this, and says how long the last of all others took for each.
-fn with_one_reader(seed: u64, ill: impl Fn(&mut Domain)) -> (Vec<Duration>, u64) {
-    let mut domain = filled(Plan { subscribers: 100, workers: 1_000, zones: 1, seed, ..Plan::default() });
+/// Publishes thirty changes over 15 s while one subscriber is impaired. Returns how long each change took to reach the
+/// last of the other subscribers, and the bytes sent to the impaired one.
+fn run_with_impaired_reader(seed: u64, impair: impl Fn(&mut Domain)) -> (Vec<Duration>, u64) {
+    let mut domain =
+        filled_domain(Plan { subscribers: 100, workers: 1_000, zones: 1, seed, ..Plan::default() });
     let slow = domain.address(Role::Subscriber, 7);
     let relays: Vec<SocketAddr> = (0..4).map(|index| domain.address(Role::Relay, index)).collect();
     for relay in &relays {
         domain.watch(*relay, slow);
     }
-    ill(&mut domain);
+    impair(&mut domain);
     let mut asked: Vec<(Timestamp, Version)> = vec![];
     for _ in 0..30 {
         let changes = domain.touch(25);
-        asked.push((domain.now(), published(&mut domain, changes)));
+        asked.push((domain.now(), publish_committed(&mut domain, changes)));
         domain.run(Duration::millis(500));
     }
     let bytes = relays.iter().map(|relay| domain.ledger().counted(*relay, slow).1).sum();
@@ -159,40 +164,42 @@
     let spans = asked.iter().map(last).collect();
     domain.heal();
     domain.stop(Role::Subscriber, 7, false);
-    ends_well(&mut domain, seconds(20));
+    assert_converges(&mut domain, seconds(20));
     (spans, bytes)
 }
 
 #[test]
-fn one_slow_reader_costs_nobody_else() {
+fn one_slow_reader_does_not_delay_others() {
     for seed in SEEDS {
-        let (calm, usual) = with_one_reader(seed, |_| {});
-        let most = |spans: &[Duration]| spans.iter().copied().max().unwrap_or_default();
-        assert!(most(&calm) < Duration::millis(100), "seed {seed}: {calm:?}");
+        let (calm, usual) = run_with_impaired_reader(seed, |_| {});
+        let longest = |spans: &[Duration]| spans.iter().copied().max().unwrap_or_default();
+        assert!(longest(&calm) < Duration::millis(100), "seed {seed}: {calm:?}");
         let stopped = |domain: &mut Domain| domain.stop(Role::Subscriber, 7, true);
         let late = |domain: &mut Domain| {
             let link = Link { delay: Duration::millis(1_000), loss: 0.3, ..Link::default() };
             domain.set_links_of(Role::Subscriber, 7, link);
         };
-        // It is heard and hears nothing.
-        let deaf = |domain: &mut Domain| {
+        // Its messages arrive, but it receives none.
+        let unreachable = |domain: &mut Domain| {
             for relay in 0..4 {
                 let (from, to) = (domain.address(Role::Relay, relay), domain.address(Role::Subscriber, 7));
                 domain.set_link(from, to, Link { cut: true, ..Link::default() });
             }
         };
-        for (name, ill) in [("stopped", &stopped as &dyn Fn(&mut Domain)), ("late", &late), ("deaf", &deaf)] {
-            let (spans, bytes) = with_one_reader(seed, ill);
+        for (name, impair) in
+            [("stopped", &stopped as &dyn Fn(&mut Domain)), ("late", &late), ("deaf", &unreachable)]
+        {
+            let (spans, bytes) = run_with_impaired_reader(seed, impair);
             assert!(
-                most(&spans).0 <= most(&calm).0 + Duration::millis(20).0,
+                longest(&spans).0 <= longest(&calm).0 + Duration::millis(20).0,
                 "seed {seed}: {:?} with one reader {name}, {:?} without",
-                most(&spans),
-                most(&calm)
+                longest(&spans),
+                longest(&calm)
             );
-            // A window of 16 pages, each sent again at most twice a second.
-            let bound = usual + 15 * 2 * 16 * 1_400;
+            // A window of 16 pages, each sent again at most twice per second.
+            let peak_limit = usual + 15 * 2 * 16 * 1_400;
             assert!(
-                bytes < bound,
+                bytes < peak_limit,
                 "seed {seed}: {bytes} bytes went to one reader that is {name}, {usual} usually"
             );
         }
@@ -200,10 +207,10 @@
 }
 
 #[test]
-fn with_one_control_process_in_four_dead_changes_are_in_force_in_time() {
+fn changes_are_installed_in_time_with_one_in_four_control_processes_dead() {
     for seed in SEEDS {
         let plan = Plan { replicas: 3, relays: 5, subscribers: 300, workers: 1_000, seed, ..Plan::default() };
-        let mut domain = filled(plan);
+        let mut domain = filled_domain(plan);
         let publisher = domain.holder().unwrap();
         let change = domain.touch(1);
         let before = domain.publish(change);
@@ -218,10 +225,10 @@
         });
         let again = domain.publish(change);
         domain.run(seconds(6));
-        // The moments of the deaths: the last has it within 6 s.
+        // Even changes published at the moment of a failure reach the last subscriber within 6 s.
         assert!(
             !matches!(domain.outcome(while_electing), Some(Ok(_))),
-            "seed {seed}: a dead publisher answered"
+            "seed {seed}: a dead publisher reported a commit"
         );
         for ticket in [before, again] {
             let reach = domain.reach_of(ticket);
@@ -230,7 +237,7 @@
                 "seed {seed}: {reach:?}"
             );
         }
-        // While they are dead: as the aim says.
+        // While both processes are dead, changes meet the normal target.
         let tickets: Vec<u64> = (0..40)
             .map(|_| {
                 let change = domain.touch(1);
@@ -243,10 +250,10 @@
         for ticket in tickets {
             let reach = domain.reach_of(ticket);
             let in_time = |reach: &lab::domain::Reach| {
-                reach.missing == 0 && reach.percentile_99 < SECOND && reach.last < seconds(6)
+                reach.missing == 0 && reach.percentile_99 < ONE_SECOND && reach.last < seconds(6)
             };
             assert!(reach.as_ref().is_some_and(in_time), "seed {seed}: {reach:?}");
         }
-        ends_well(&mut domain, seconds(5));
+        assert_converges(&mut domain, seconds(5));
     }
 }
--- a/tests/distribution/main.rs
+++ b/tests/distribution/main.rs
@@ -1,6 +1,6 @@
-//! Hard cases of the distribution of lists and settings: whole domains of the shipped machine in virtual time, on the shipped
-//! datagrams, with faults. The domain holds every process at every step to the rules (`lab::domain`); each test adds what
-//! must come of its case. Nothing here depends on how fast the machine is that runs it.
+//! Failure and load tests of the distribution: complete domains of the actual nodes in virtual time, which exchange the
+//! actual datagrams, with injected faults. `lab::domain` checks the invariants of every process at every step; each
+//! test adds the expectations of its case. No result depends on the speed of the machine.
 
 #![allow(
     clippy::unwrap_used,
@@ -20,45 +20,50 @@
 use std::net::SocketAddr;
 
 pub(crate) const SEEDS: [u64; 3] = [11, 12, 13];
-pub(crate) const SECOND: Duration = Duration(1_000_000_000);
+pub(crate) const ONE_SECOND: Duration = Duration(1_000_000_000);
 
 pub(crate) fn seconds(count: u64) -> Duration {
-    Duration(count * SECOND.0)
+    Duration(count * ONE_SECOND.0)
 }
 
-/// A domain whose first list is in force everywhere.
-pub(crate) fn filled(plan: Plan) -> Domain {
+/// Creates a domain in which the first list is installed everywhere.
+pub(crate) fn filled_domain(plan: Plan) -> Domain {
     let seed = plan.seed;
     let mut domain = Domain::new(plan);
-    domain.run(SECOND);
+    domain.run(ONE_SECOND);
     domain.fill().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-    assert!(domain.settle(seconds(60)), "seed {seed}: the first list is not in force everywhere");
+    assert!(domain.settle(seconds(60)), "seed {seed}: the first list is not installed everywhere");
     domain
 }
 
-/// All processes come to hold the same, and no rule was broken on the way.
+/// Asserts that all processes end up with the same records, and that no invariant was violated.
 #[track_caller]
-pub(crate) fn ends_well(domain: &mut Domain, limit: Duration) {
+pub(crate) fn assert_converges(domain: &mut Domain, limit: Duration) {
     let seed = domain.plan().seed;
     let settled = domain.settle(limit);
     let broken = domain.audit();
     assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-    assert!(settled, "seed {seed}: not all hold {:?}: {:?}", domain.ledger().head(), behind(domain));
+    assert!(
+        settled,
+        "seed {seed}: not all processes have {:?}: {:?}",
+        domain.ledger().head(),
+        lagging_processes(domain)
+    );
 }
 
-/// What operators are shown of processes that don't have the last version in force.
-pub(crate) fn behind(domain: &Domain) -> Vec<String> {
+/// The operator status of processes that have not installed the last version.
+pub(crate) fn lagging_processes(domain: &Domain) -> Vec<String> {
     let head = domain.ledger().head();
-    let told = |(role, index): (Role, usize)| {
+    let describe = |(role, index): (Role, usize)| {
         let status = domain.process(role, index)?.node().status(domain.now());
         let counters = status.counters;
         (status.version != head).then(|| format!("{role:?} {index}: {status} {counters:?}"))
     };
-    domain.all().into_iter().filter_map(told).take(8).collect()
+    domain.all().into_iter().filter_map(describe).take(8).collect()
 }
 
 #[track_caller]
-pub(crate) fn published(domain: &mut Domain, changes: Vec<Change>) -> Version {
+pub(crate) fn publish_committed(domain: &mut Domain, changes: Vec<Change>) -> Version {
     let seed = domain.plan().seed;
     match domain.publish_now(changes) {
         Some(Ok(version)) => version,
@@ -70,13 +75,13 @@
     domain.running(Role::Subscriber).map(|(at, process)| (at, process.node().version())).collect()
 }
 
-pub(crate) fn holds(domain: &Domain, role: Role, index: usize, change: &Change) -> bool {
+pub(crate) fn has_record(domain: &Domain, role: Role, index: usize, change: &Change) -> bool {
     let Some(process) = domain.process(role, index) else { return false };
     process.node().records().any(|(key, value)| *key == change.key && Some(value) == change.value.as_ref())
 }
 
-pub(crate) fn anybody_holds(domain: &Domain, change: &Change) -> bool {
-    domain.all().into_iter().any(|(role, index)| holds(domain, role, index, change))
+pub(crate) fn any_process_has(domain: &Domain, change: &Change) -> bool {
+    domain.all().into_iter().any(|(role, index)| has_record(domain, role, index, change))
 }
 
 pub(crate) fn parent_of(domain: &Domain, role: Role, index: usize) -> Option<SocketAddr> {
