--- a/src/core/figures/tests.rs
+++ b/src/core/figures/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn figures_are_written_a_line_each() {
+fn each_figure_is_written_on_its_own_line() {
     let outcomes = ClassOutcomes { answered: 812, deferred: 2, errored: 1 };
     let classes = BTreeMap::from([("credit-submit".to_owned(), outcomes)]);
     let figures = Figures { classes, sends: 900, current: 14, cluster_size: 12, ..Figures::default() };
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -15,12 +15,12 @@
     Timestamp(1_000_000_000_000 + ms * 1_000_000)
 }
 
-/// A scheduler with one worker and one open request, whose first attempt has not gone out.
-fn with_call(class: &str) -> (Core, AttemptId) {
+/// A scheduler with one worker and one open request, whose first attempt has not been written.
+fn with_request(class: &str) -> (Core, AttemptId) {
     let mut core = Core::new(crate::settings::read_site(SITE_SETTINGS.as_bytes()).unwrap(), 7);
     let member = Member { worker: WorkerId(1), weight: 1.0, ..Member::default() };
     core.members(at(0), ListKind::Full, vec![member]);
-    let call = IncomingRequest {
+    let incoming = IncomingRequest {
         owner: Owner { connection: 1, stream: 1 },
         reference: "9b1f03aa5c7e2d41".to_owned(),
         class: class.to_owned(),
@@ -32,17 +32,17 @@
         deadline: at(3_000),
         body: vec![],
     };
-    core.submit(at(0), call);
+    core.submit(at(0), incoming);
     let attempt = std::iter::from_fn(|| core.next_command()).find_map(|command| match command {
         Command::Send { attempt, .. } => Some(attempt),
         _ => None,
     });
-    (core, attempt.expect("it is sent"))
+    (core, attempt.expect("an attempt is sent"))
 }
 
-/// Only this rule was seen broken, so often.
+/// Asserts that only this invariant was violated, this many times.
 #[track_caller]
-fn only(core: &Core, violation: Violation, times: u64) {
+fn assert_only(core: &Core, violation: Violation, times: u64) {
     assert_eq!(
         (core.violations().of(violation), core.violations().total()),
         (times, times),
@@ -53,18 +53,18 @@
 }
 
 #[test]
-fn each_violation_has_a_name_and_a_place_of_its_own() {
+fn each_violation_has_its_own_name_and_index() {
     let names: std::collections::BTreeSet<_> =
         Violation::ALL.iter().map(|violation| violation.name()).collect();
     assert_eq!(names.len(), Violation::ALL.len());
-    for (place, violation) in Violation::ALL.into_iter().enumerate() {
-        assert_eq!(violation as usize, place);
+    for (index, violation) in Violation::ALL.into_iter().enumerate() {
+        assert_eq!(violation as usize, index);
     }
 }
 
 #[test]
-fn a_call_that_goes_as_it_should_breaks_nothing() {
-    let (mut core, attempt) = with_call("unsafe");
+fn a_normal_request_violates_nothing() {
+    let (mut core, attempt) = with_request("unsafe");
     assert!(core.may_write(at(1), attempt));
     core.written(at(1), attempt);
     core.attempt_ended(at(2), attempt, Ok(Reply::Ok(vec![])));
@@ -73,40 +73,41 @@
 }
 
 #[test]
-fn an_attempt_that_passes_no_gate_is_seen() {
-    let (mut core, attempt) = with_call("safe");
+fn an_unchecked_attempt_is_detected() {
+    let (mut core, attempt) = with_request("safe");
     core.written(at(1), attempt);
-    only(&core, Violation::SentUnchecked, 1);
+    assert_only(&core, Violation::SentUnchecked, 1);
     assert!(core.figures().to_string().contains("scheduler.violations=1\n"));
 }
 
 #[test]
-fn an_attempt_that_goes_out_after_its_time_is_seen() {
-    let (mut core, attempt) = with_call("safe");
+fn an_attempt_written_after_its_deadline_is_detected() {
+    let (mut core, attempt) = with_request("safe");
     assert!(core.may_write(at(1), attempt));
     core.written(at(3_001), attempt);
-    only(&core, Violation::SentLate, 1);
+    assert_only(&core, Violation::SentLate, 1);
 }
 
 #[test]
-fn an_attempt_whose_client_has_gone_is_seen() {
-    let (mut core, attempt) = with_call("safe");
+fn an_attempt_whose_client_has_left_is_detected() {
+    let (mut core, attempt) = with_request("safe");
     assert!(core.may_write(at(1), attempt));
-    // As if the withdrawal had forgotten to call the attempt off.
+    // As if a withdrawal had failed to cancel the attempt.
     core.remove_request(attempt.request);
     core.written(at(2), attempt);
     assert_eq!(core.violations().of(Violation::SentAfterEnd), 1);
 }
 
-/// What may have run does not go out again, or not later than its class allows.
+/// A request that may have run is not written again, or not later than its class allows.
 #[test]
-fn a_repeat_against_the_rules_is_seen() {
-    for (class, later, broken) in [("safe", 2_000, 0), ("keyed", 400, 0), ("keyed", 501, 1), ("unsafe", 2, 1)]
+fn a_forbidden_retry_is_detected() {
+    for (class, later, expected) in
+        [("safe", 2_000, 0), ("keyed", 400, 0), ("keyed", 501, 1), ("unsafe", 2, 1)]
     {
-        let (mut core, first) = with_call(class);
+        let (mut core, first) = with_request(class);
         assert!(core.may_write(at(1), first));
         core.written(at(1), first);
-        // The first is out no longer, and the next goes past the gate.
+        // The first attempt has ended, and the next one is written without a check.
         let mut attempt = core.attempts.remove(&first).unwrap();
         core.counters.reset += 1;
         (attempt.allowed, attempt.written) = (true, None);
@@ -114,16 +115,16 @@
         core.attempts.insert(second, attempt);
         core.counters.attempts += 1;
         core.written(at(later), second);
-        only(&core, Violation::Repeated, broken);
+        assert_only(&core, Violation::Repeated, expected);
     }
 }
 
 #[test]
-fn two_attempts_at_once_are_seen() {
-    let (mut core, first) = with_call("safe");
+fn two_attempts_in_flight_are_detected() {
+    let (mut core, first) = with_request("safe");
     assert!(core.may_write(at(1), first));
     core.written(at(1), first);
-    let twin = core.attempts.get(&first).map(|attempt| crate::core::command::Attempt {
+    let copy = core.attempts.get(&first).map(|attempt| crate::core::command::Attempt {
         worker: attempt.worker,
         class: attempt.class,
         decided_at: attempt.decided_at,
@@ -132,14 +133,14 @@
         allowed: true,
     });
     let second = AttemptId { number: first.number + 1, ..first };
-    core.attempts.insert(second, twin.unwrap());
+    core.attempts.insert(second, copy.unwrap());
     core.written(at(2), second);
-    only(&core, Violation::SecondAttempt, 1);
+    assert_only(&core, Violation::SecondAttempt, 1);
 }
 
 #[test]
-fn an_order_that_passes_no_gate_is_seen() {
-    let (mut core, _) = with_call("safe");
+fn an_unchecked_load_request_is_detected() {
+    let (mut core, _) = with_request("safe");
     let load = Action::Load { worker: WorkerId(1), function: FunctionId(9), instances: 1, part: None };
     core.carry_out(at(1), &load);
     core.carry_out(at(1), &load);
@@ -148,24 +149,24 @@
     for load in loads {
         core.load_ended(at(2), load, Ok(crate::request::LoadResult { status: Status::Ok, instances: 1 }));
     }
-    only(&core, Violation::LoadUnchecked, 1);
+    assert_only(&core, Violation::LoadUnchecked, 1);
 }
 
-/// Sums are looked at after every event; a difference is told when it comes up, and again when it becomes another one.
+/// Totals are checked after every event; a difference is reported when it arises, and again when it changes.
 #[test]
-fn sums_that_do_not_add_up_are_seen() {
-    type Spoil = fn(&mut Core);
-    let cases: [(Violation, Spoil); 4] = [
+fn totals_that_do_not_match_are_detected() {
+    type Corrupt = fn(&mut Core);
+    let cases: [(Violation, Corrupt); 4] = [
         (Violation::Requests, |core| core.counters.taken += 1),
         (Violation::Attempts, |core| core.counters.cancelled += 1),
         (Violation::Loads, |core| core.counters.orders_begun += 1),
         (Violation::Tables, |core| core.requests.clear_references()),
     ];
-    for (violation, spoil) in cases {
-        let (mut core, _) = with_call("safe");
-        spoil(&mut core);
+    for (violation, corrupt) in cases {
+        let (mut core, _) = with_request("safe");
+        corrupt(&mut core);
         core.on_timeout(at(1));
         core.on_timeout(at(2));
-        only(&core, violation, 1);
+        assert_only(&core, violation, 1);
     }
 }
--- a/src/core/stored_forms.rs
+++ b/src/core/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Lines of the trace, word for word: some of their keys and words are names in the source, and operators look for them.
+//! Exact lines of the trace: some of their keys and values are names from the source code, and operators search for them.
 
 use super::admission::RejectReason;
 use super::*;
@@ -11,9 +11,9 @@
   "familyInfo": {"keepNs": 9000000000, "notLoaded": "load", "loadSpanNs": 0}}"#;
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct CapturedOutput(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Kept {
+impl io::Write for CapturedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -23,10 +23,10 @@
     }
 }
 
-/// What is logged while this is done.
-fn logged(what: impl FnOnce()) -> String {
-    let kept = Kept::default();
-    let writer = kept.clone();
+/// The log lines written while `action` runs.
+fn logged(action: impl FnOnce()) -> String {
+    let captured = CapturedOutput::default();
+    let writer = captured.clone();
     let lines = tracing_subscriber::fmt()
         .with_max_level(tracing::Level::DEBUG)
         .with_target(false)
@@ -34,8 +34,8 @@
         .without_time()
         .with_writer(move || writer.clone())
         .finish();
-    tracing::subscriber::with_default(lines, what);
-    String::from_utf8(kept.0.lock().unwrap().clone()).unwrap()
+    tracing::subscriber::with_default(lines, action);
+    String::from_utf8(captured.0.lock().unwrap().clone()).unwrap()
 }
 
 fn core() -> Core {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn refusals_are_traced_under_these_words() {
+fn rejections_are_traced_with_these_words() {
     let all = [
         RejectReason::Full,
         RejectReason::Ending,
--- a/tests/discovery_outage.rs
+++ b/tests/discovery_outage.rs
@@ -1,15 +1,12 @@
-//! Discovery out of reach for longer than any drain may go unheard, between real processes.
+//! An outage of discovery, with real processes, that lasts longer than a drain may go unreceived.
 //!
-//! What happened: discovery went out of reach for all schedulers, and two busy workers began to drain just after. They stayed
-//! up, rejecting every new request and load unseen. Seven seconds after a drain was put into discovery it counts as received,
-//! whether it arrived or not; a grace later nothing new may be sent there. All schedulers went on for as long as the outage
-//! lasted: 2,331 sends and 71 load requests too many.
-//!
-//! Cause: a worker that was listed ready once was taken to be ready for as long as discovery said nothing. No decision looked at
-//! the age of the list, and nobody asked the worker, which would have said that it takes no work.
-//!
-//! What settled it: each scheduler's log shows only `discovery silent`, its sends to the two workers are spread evenly over
-//! all schedulers and the whole outage, and a draining worker answers a probe with `dead`, a ready one with `alive`.
+//! Guards against this failure: discovery became unreachable for all schedulers, and two busy workers began to drain right
+//! after, rejecting every new request and load request. A drain counts as received seven seconds after it was put into
+//! discovery, whether it arrived or not, and a grace later no new work may be sent to the worker. All schedulers went on for
+//! the whole outage: 2,331 sends and 71 load requests too many. A worker once listed as ready was taken to be ready while
+//! discovery was silent: no decision considered the age of the list, and the workers were not probed, although a draining
+//! worker answers a probe with `dead` and a ready one with `alive`. The evidence: each scheduler's log showed only
+//! `discovery silent`, and the sends were spread evenly over all schedulers and the whole outage.
 
 #![allow(
     clippy::unwrap_used,
@@ -27,32 +24,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const SCHEDULERS: usize = 3;
-const WORKERS: usize = 6;
-const FUNCTIONS: u64 = 12;
-/// The deployment's grace after a drain is known.
-const GRACE: Duration = Duration::from_millis(500);
-/// What is in discovery counts as received after this time at the latest.
-const RECEIVED_AT_THE_LATEST: Duration = Duration::from_secs(7);
+const SCHEDULER_COUNT: usize = 3;
+const WORKER_COUNT: usize = 6;
+const FUNCTION_COUNT: u64 = 12;
+/// The deployment's grace after a drain is received.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// What discovery has listed counts as received after this time at the latest.
+const MAX_RECEIVE_DELAY: Duration = Duration::from_secs(7);
 /// What the platform adds to every limit.
 const SOCKET_ALLOWANCE: Duration = Duration::from_millis(50);
-/// For how long the outage goes on after the last moment at which a draining worker may be sent something.
-const WATCHED: Duration = Duration::from_secs(3);
-/// From one request to the next, at each scheduler.
+/// How long the outage lasts after the last moment at which a draining worker may be sent new work.
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
+/// Interval between requests at each scheduler.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How discovery goes out of reach.
+/// The kind of discovery outage.
 #[derive(Clone, Copy, PartialEq)]
 enum Outage {
-    /// Its connections stay up and nothing comes any more.
+    /// Its connections stay open, but nothing is sent on them.
     Silent,
-    /// Its connections end, and new ones are refused.
+    /// Its connections are closed, and new ones are refused.
     Closed,
-    /// It goes on saying that there is nothing new.
+    /// It continues to send heartbeats but reports no changes.
     Mute,
 }
 
-/// A discovery service that sends its empty frame each second until the outage.
+/// A discovery service that sends an empty frame each second until the outage.
 struct Discovery {
     address: std::net::SocketAddr,
     out: Arc<AtomicBool>,
@@ -83,18 +80,18 @@
             thread::sleep(Duration::from_millis(5));
         }
         if outage == Outage::Silent {
-            // What still connects waits in the backlog for an answer that never comes.
+            // New connections stay in the listener's backlog and are never answered.
             thread::sleep(LONG * 2);
         }
     }
 }
 
-/// A worker that drains when it is told to, as the platform's workers do: it says so when it is asked, rejects
-/// what is new, and stays up.
+/// A worker that drains on command as the platform's workers do: it answers probes accordingly, rejects new requests and
+/// load requests, and keeps running.
 struct DrainingWorker {
     /// Since when it drains.
     since: Arc<Mutex<Option<Instant>>>,
-    /// When something new came that it rejected, and what.
+    /// The time and verb of each message that it rejected while draining.
     rejected: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
@@ -102,17 +99,17 @@
     fn serve(worker: Worker) -> DrainingWorker {
         let since = Arc::new(Mutex::new(None));
         let rejected = Arc::new(Mutex::new(vec![]));
-        let (drains_since, kept) = (since.clone(), rejected.clone());
-        worker.serve(move |heard| {
+        let (drains_since, rejected_by_handler) = (since.clone(), rejected.clone());
+        worker.serve(move |received| {
             let drains = drains_since.lock().unwrap().is_some();
-            match heard.word() {
+            match received.word() {
                 "stat" => Some((if drains { "dead" } else { "alive" }, String::new())),
-                "stage" if heard.line["attrs"]["replicas"] == 0 => Some(("200", String::new())),
+                "stage" if received.line["attrs"]["replicas"] == 0 => Some(("200", String::new())),
                 word @ ("go" | "stage") if drains => {
-                    kept.lock().unwrap().push((Instant::now(), word.to_owned()));
+                    rejected_by_handler.lock().unwrap().push((Instant::now(), word.to_owned()));
                     Some(("503", String::new()))
                 }
-                _ => echo(heard),
+                _ => echo(received),
             }
         });
         DrainingWorker { since, rejected }
@@ -122,46 +119,46 @@
         *self.since.lock().unwrap() = Some(Instant::now());
     }
 
-    /// What came too late to be allowed, as milliseconds after the drain began.
-    fn late(&self) -> Vec<(u128, String)> {
+    /// Rejected messages that were sent too late, as milliseconds after the drain began and verb.
+    fn late_messages(&self) -> Vec<(u128, String)> {
         let since = self.since.lock().unwrap().unwrap();
-        let allowed = RECEIVED_AT_THE_LATEST + GRACE + SOCKET_ALLOWANCE;
+        let allowed = MAX_RECEIVE_DELAY + DRAIN_GRACE + SOCKET_ALLOWANCE;
         let rejected = self.rejected.lock().unwrap();
         let late = rejected.iter().filter(|(at, _)| *at > since + allowed);
         late.map(|(at, word)| ((*at - since).as_millis(), word.clone())).collect()
     }
 }
 
-/// Whether schedulers may ask workers whether they take work.
+/// Whether schedulers may send health checks to workers.
 #[derive(Clone, Copy, PartialEq)]
 enum HealthChecks {
     Allowed,
     Forbidden,
 }
 
-fn site(index: usize, checks: HealthChecks) -> Value {
+fn site_settings(index: usize, checks: HealthChecks) -> Value {
     let mut settings = settings();
-    (settings["fleetSize"], settings["index"]) = (json!(SCHEDULERS), json!(index));
+    (settings["fleetSize"], settings["index"]) = (json!(SCHEDULER_COUNT), json!(index));
     settings["bounds"]["probes"] = json!(checks == HealthChecks::Allowed);
-    settings["contract"]["drainGraceNs"] = json!(GRACE.as_nanos() as u64);
+    settings["contract"]["drainGraceNs"] = json!(DRAIN_GRACE.as_nanos() as u64);
     settings
 }
 
-/// Verdicts of a client's requests: one each, in the order in which they came.
+/// A client's requests: how many were sent, and the thread that collects their verdicts in order of arrival.
 struct Client {
     sent: usize,
     verdicts: thread::JoinHandle<Vec<u8>>,
 }
 
 impl Client {
-    /// Sends requests of many functions at an even pace until then, and collects their answers.
+    /// Sends requests for several functions at a constant rate until the given time and collects their answers.
     fn run(listen: std::net::SocketAddr, scheduler: usize, until: Instant) -> Client {
         let mut frames = Frames::connect(listen);
         let mut answers = Frames(frames.0.try_clone().unwrap());
         let verdicts = thread::spawn(move || {
             let mut verdicts = vec![];
             while let Some((kind, _, payload)) = answers.next() {
-                assert_eq!(kind, 1, "nothing but answers");
+                assert_eq!(kind, 1, "only answers are expected");
                 verdicts.push(payload[0]);
             }
             verdicts
@@ -170,7 +167,7 @@
         while Instant::now() < until {
             sent += 1;
             let reference = format!("{:016x}", (scheduler as u64) << 32 | sent as u64);
-            let function = format!("{:016x}", sent as u64 % FUNCTIONS + 1);
+            let function = format!("{:016x}", sent as u64 % FUNCTION_COUNT + 1);
             let list = [
                 ("service", "practice-check"),
                 ("ref", &reference),
@@ -187,21 +184,21 @@
     }
 }
 
-fn drains_are_kept_through(outage: Outage, checks: HealthChecks) {
-    let workers: Vec<Worker> = (0..WORKERS).map(|_| Worker::over_tcp()).collect();
+fn no_late_work_goes_to_draining_workers_during(outage: Outage, checks: HealthChecks) {
+    let workers: Vec<Worker> = (0..WORKER_COUNT).map(|_| Worker::over_tcp()).collect();
     let listed: Vec<&Worker> = workers.iter().collect();
-    let discoveries: Vec<Discovery> = (0..SCHEDULERS).map(|_| Discovery::start(outage)).collect();
+    let discoveries: Vec<Discovery> = (0..SCHEDULER_COUNT).map(|_| Discovery::start(outage)).collect();
     let daemons: Vec<Daemon> = discoveries
         .iter()
         .enumerate()
         .map(|(n, discovery)| {
-            Daemon::with(&listed, site(n, checks), Some(discovery.address), |_| String::new())
+            Daemon::with(&listed, site_settings(n, checks), Some(discovery.address), |_| String::new())
         })
         .collect();
     let workers: Vec<DrainingWorker> = workers.into_iter().map(DrainingWorker::serve).collect();
     let start = Instant::now();
     let drain_at = start + Duration::from_millis(1500);
-    let until = drain_at + RECEIVED_AT_THE_LATEST + GRACE + SOCKET_ALLOWANCE + WATCHED;
+    let until = drain_at + MAX_RECEIVE_DELAY + DRAIN_GRACE + SOCKET_ALLOWANCE + OBSERVATION_TIME;
     let clients: Vec<_> = daemons
         .iter()
         .enumerate()
@@ -219,19 +216,19 @@
     for client in clients {
         let client = client.join().unwrap();
         let verdicts = client.verdicts.join().unwrap();
-        assert_eq!(verdicts.len(), client.sent, "each request has its one answer");
+        assert_eq!(verdicts.len(), client.sent, "each request has exactly one answer");
         let served = verdicts.iter().filter(|code| **code == 79).count();
-        assert!(served * 100 >= client.sent * 95, "service goes on: {served} of {}", client.sent);
+        assert!(served * 100 >= client.sent * 95, "too few requests served: {served} of {}", client.sent);
     }
     for daemon in &daemons {
         let outages = u64::from(outage != Outage::Mute);
-        assert_eq!(daemon.counter("discovery_lost"), outages, "the outage was real, and one");
+        assert_eq!(daemon.counter("discovery_lost"), outages, "each scheduler noticed exactly one outage");
     }
     for (n, worker) in workers[..2].iter().enumerate() {
-        let late = worker.late();
+        let late = worker.late_messages();
         assert!(
             late.is_empty(),
-            "{} new to worker {n} after the grace, as from {:?} ms on",
+            "{} new messages to worker {n} after the grace, the first at {:?} (ms)",
             late.len(),
             late.first()
         );
@@ -240,39 +237,41 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_worker_while_discovery_is_silent() {
-    drains_are_kept_through(Outage::Silent, HealthChecks::Allowed);
+    no_late_work_goes_to_draining_workers_during(Outage::Silent, HealthChecks::Allowed);
 }
 
 #[test]
 fn nothing_new_goes_to_a_draining_worker_while_discovery_refuses() {
-    drains_are_kept_through(Outage::Closed, HealthChecks::Allowed);
+    no_late_work_goes_to_draining_workers_during(Outage::Closed, HealthChecks::Allowed);
 }
 
-/// The drains come before the next word of discovery would have, and idle workers have nothing but the list.
+/// The drains begin before the next frame from discovery is due, and without health checks an idle worker is confirmed
+/// only by the list.
 #[test]
-fn nothing_new_goes_to_a_draining_worker_where_no_health_checks_are_allowed() {
-    drains_are_kept_through(Outage::Closed, HealthChecks::Forbidden);
+fn nothing_new_goes_to_a_draining_worker_without_health_checks() {
+    no_late_work_goes_to_draining_workers_during(Outage::Closed, HealthChecks::Forbidden);
 }
 
-/// The list never ages here: only the workers' own words tell.
+/// The heartbeats keep the list valid here: only the workers' own answers show that they drain.
 #[test]
-fn nothing_new_goes_to_a_draining_worker_while_discovery_tells_nothing_new() {
-    drains_are_kept_through(Outage::Mute, HealthChecks::Allowed);
+fn nothing_new_goes_to_a_draining_worker_while_discovery_reports_no_changes() {
+    no_late_work_goes_to_draining_workers_during(Outage::Mute, HealthChecks::Allowed);
 }
 
-/// The list of a start may be as old as the outage.
+/// The list at the start of the process may be as old as the outage.
 #[test]
-fn a_scheduler_that_starts_in_an_outage_asks_before_it_sends() {
+fn a_scheduler_that_starts_in_an_outage_probes_before_it_sends() {
     let workers: Vec<Worker> = (0..2).map(|_| Worker::over_tcp()).collect();
-    // Nobody listens there any more.
+    // The listener is dropped at once, so connections are refused.
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let listed: Vec<&Worker> = workers.iter().collect();
-    let daemon = Daemon::with(&listed, site(0, HealthChecks::Allowed), Some(nowhere), |_| String::new());
+    let daemon =
+        Daemon::with(&listed, site_settings(0, HealthChecks::Allowed), Some(nowhere), |_| String::new());
     let workers: Vec<DrainingWorker> = workers.into_iter().map(DrainingWorker::serve).collect();
     workers[0].drain();
     let until = Instant::now() + Duration::from_secs(2);
     let client = Client::run(daemon.listen, 0, until);
     let verdicts = client.verdicts.join().unwrap();
-    assert_eq!(verdicts, vec![79; client.sent], "all are served by the other worker");
-    assert_eq!(*workers[0].rejected.lock().unwrap(), vec![], "nothing new came to the one that drains");
+    assert_eq!(verdicts, vec![79; client.sent], "all requests are served by the other worker");
+    assert_eq!(*workers[0].rejected.lock().unwrap(), vec![], "the draining worker is sent nothing new");
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! Drains that were not received: whom the decisions send something new while discovery is out of reach.
+//! Drains that were not received: which workers the policy sends new work while discovery is unreachable.
 
 #![allow(
     clippy::unwrap_used,
@@ -13,10 +13,10 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long the list is valid after discovery was heard, with a grace of 2 s.
-const VALID: Duration = Duration::millis(2_850);
-/// For how long an answer of a worker counts, with a grace of 2 s.
-const CONFIRMED: Duration = Duration::millis(1_600);
+/// How long the list is valid after a message from discovery, with a drain grace of 2 s.
+const LIST_LIFETIME: Duration = Duration::millis(2_850);
+/// How long a worker's answer confirms it, with a drain grace of 2 s.
+const CONFIRMATION_LIFETIME: Duration = Duration::millis(1_600);
 
 fn probes(actions: &[Action]) -> Vec<WorkerId> {
     let probe =
@@ -28,149 +28,160 @@
     Event::Probed(worker, status, vec![])
 }
 
-/// A scheduler whose list follows discovery, which was heard just now.
-fn following(settings: Settings, workers: u64) -> Rig {
+/// A scheduler whose list follows discovery, from which a message has just arrived.
+fn following_rig(settings: Settings, workers: u64) -> Rig {
     let mut rig = Rig::new(settings, workers);
     rig.handle(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
     rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
     rig
 }
 
-/// The same after so long a silence that no list is valid any more.
-fn cut_off(settings: Settings, workers: u64) -> Rig {
-    let mut rig = following(settings, workers);
-    rig.advance(Duration(VALID.0 + Duration::millis(10).0));
+/// The same after discovery has been silent for so long that the list is no longer valid.
+fn cut_off_rig(settings: Settings, workers: u64) -> Rig {
+    let mut rig = following_rig(settings, workers);
+    rig.advance(Duration(LIST_LIFETIME.0 + Duration::millis(10).0));
     rig
 }
 
 #[test]
-fn a_list_counts_by_itself_for_a_while_after_discovery_was_heard() {
-    let mut rig = following(settings(OnMiss::Load), 4);
-    rig.advance(VALID);
+fn the_list_stays_valid_for_a_while_after_a_message_from_discovery() {
+    let mut rig = following_rig(settings(OnMiss::Load), 4);
+    rig.advance(LIST_LIFETIME);
     let actions = rig.handle(Event::Request(request(1, 7, 0)));
     assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (1, 0));
     rig.advance(Duration::millis(10));
     let actions = rig.handle(Event::Request(request(2, 8, 0)));
-    assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (0, 1), "it is asked first");
+    assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (0, 1), "the worker is probed first");
     rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
     let actions = rig.handle(Event::Request(request(3, 9, 0)));
-    assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (1, 0), "heard again");
+    assert_eq!(
+        (send_targets(&actions).len(), probes(&actions).len()),
+        (1, 0),
+        "discovery is reachable again"
+    );
 }
 
-/// Where nothing follows discovery, as in the simulator and in clients that give the list themselves, nobody is asked.
+/// Without a source of the list, as in the simulator and in library clients that supply the list, no worker is probed.
 #[test]
-fn a_list_without_a_source_counts_for_good() {
+fn a_list_without_a_source_stays_valid() {
     let mut rig = Rig::new(settings(OnMiss::Load), 4);
     rig.advance(Duration::millis(60_000));
     let actions = rig.handle(Event::Request(request(1, 7, 0)));
     assert_eq!((send_targets(&actions).len(), probes(&actions).len()), (1, 0));
 }
 
-/// What the process began with may be old, and what a new connection would have told counts as received.
+/// The list at the start of the process may be old, and what discovery would have sent on a new connection counts as
+/// received.
 #[test]
-fn neither_the_first_list_nor_a_dial_confirms_anything() {
+fn neither_the_first_list_nor_a_new_connection_confirms_the_list() {
     let mut rig = Rig::new(settings(OnMiss::Load), 4);
     rig.handle(Event::ListSource(ListSource::Followed { fixed: BTreeSet::new() }));
     assert_eq!(send_targets(&rig.handle(Event::Request(request(1, 7, 0)))), vec![]);
     rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
     rig.handle(Event::ListSource(ListSource::Resubscribed));
-    rig.advance(Duration(CONFIRMED.0 + Duration::millis(10).0));
+    rig.advance(Duration(CONFIRMATION_LIFETIME.0 + Duration::millis(10).0));
     assert_eq!(
         send_targets(&rig.handle(Event::Request(request(2, 8, 0)))),
         vec![],
-        "sooner than without the dial"
+        "the list becomes invalid sooner than without the new connection"
     );
 }
 
 #[test]
-fn a_worker_that_takes_work_gets_what_waited_for_its_word() {
-    let mut rig = cut_off(settings(OnMiss::Load), 4);
-    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))));
-    assert_eq!(probes(&rig.handle(Event::Request(request(2, 7, 0)))), vec![], "one question at a time");
-    let actions = rig.handle(probed(asked[0], Status::Ok));
-    assert_eq!(send_targets(&actions), vec![asked[0]; 2]);
+fn a_worker_that_accepts_work_is_sent_the_requests_that_waited_for_its_probe() {
+    let mut rig = cut_off_rig(settings(OnMiss::Load), 4);
+    let probed_workers = probes(&rig.handle(Event::Request(request(1, 7, 0))));
+    assert_eq!(probes(&rig.handle(Event::Request(request(2, 7, 0)))), vec![], "one probe at a time");
+    let actions = rig.handle(probed(probed_workers[0], Status::Ok));
+    assert_eq!(send_targets(&actions), vec![probed_workers[0]; 2]);
 }
 
-/// An answer counts from the moment at which the request was sent, however long it took.
+/// An answer confirms its worker from when the request was sent, however long it took.
 #[test]
 fn a_served_request_confirms_its_worker_from_when_it_was_sent() {
-    let mut rig = cut_off(settings(OnMiss::Load), 1);
+    let mut rig = cut_off_rig(settings(OnMiss::Load), 1);
     rig.handle(Event::Request(request(1, 7, 0)));
     rig.handle(probed(WorkerId(1), Status::Ok));
     let sent_at = rig.now;
     rig.advance(Duration::millis(1_500));
     rig.end_last_attempt(Status::Ok);
-    assert!(rig.policy.is_confirmed(WorkerId(1), sent_at + CONFIRMED));
-    assert!(!rig.policy.is_confirmed(WorkerId(1), sent_at + CONFIRMED + Duration::millis(1)));
+    assert!(rig.policy.is_confirmed(WorkerId(1), sent_at + CONFIRMATION_LIFETIME));
+    assert!(!rig.policy.is_confirmed(WorkerId(1), sent_at + CONFIRMATION_LIFETIME + Duration::millis(1)));
 }
 
 #[test]
-fn a_worker_that_takes_no_work_gets_nothing_and_is_asked_again_after_a_second() {
-    let mut rig = cut_off(settings(OnMiss::Load), 2);
-    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
-    let next = probes(&rig.handle(probed(asked, Status::Full)));
-    assert!(next.len() == 1 && next[0] != asked, "the request goes elsewhere");
+fn a_worker_that_rejects_work_is_sent_nothing_and_probed_again_after_a_second() {
+    let mut rig = cut_off_rig(settings(OnMiss::Load), 2);
+    let probed_worker = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
+    let next = probes(&rig.handle(probed(probed_worker, Status::Full)));
+    assert!(next.len() == 1 && next[0] != probed_worker, "the request goes to another worker");
     assert_eq!(send_targets(&rig.handle(probed(next[0], Status::Ok))), next);
     rig.end_last_attempt(Status::Ok);
     for n in 2..40 {
         let actions = rig.handle(Event::Request(request(n, 7, 0)));
-        assert!(!probes(&actions).contains(&asked) && !send_targets(&actions).contains(&asked));
+        assert!(
+            !probes(&actions).contains(&probed_worker) && !send_targets(&actions).contains(&probed_worker)
+        );
         if !send_targets(&actions).is_empty() {
             rig.end_last_attempt(Status::Ok);
         }
         rig.advance(Duration::millis(20));
     }
     rig.advance(Duration::millis(400));
-    // The other one drains too: now the first is worth a question again.
+    // The other worker drains too, so the first one is probed again.
     rig.handle(probed(next[0], Status::Full));
-    assert_eq!(probes(&rig.handle(Event::Request(request(50, 7, 0)))), vec![asked]);
+    assert_eq!(probes(&rig.handle(Event::Request(request(50, 7, 0)))), vec![probed_worker]);
 }
 
-/// It finishes what it has, however often it says that it takes no more.
+/// A draining worker finishes its requests, however often it rejects a probe.
 #[test]
-fn what_runs_at_a_worker_that_drains_is_not_called_off() {
-    let mut rig = cut_off(settings(OnMiss::Load), 2);
-    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
-    assert_eq!(send_targets(&rig.handle(probed(asked, Status::Ok))), vec![asked]);
+fn attempts_at_a_draining_worker_are_not_cancelled() {
+    let mut rig = cut_off_rig(settings(OnMiss::Load), 2);
+    let probed_worker = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
+    assert_eq!(send_targets(&rig.handle(probed(probed_worker, Status::Ok))), vec![probed_worker]);
     for _ in 0..3 {
-        let actions = rig.handle(probed(asked, Status::Full));
+        let actions = rig.handle(probed(probed_worker, Status::Full));
         assert!(!actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{actions:?}");
     }
 }
 
 #[test]
-fn a_request_waits_for_one_workers_word_a_quarter_of_its_time_at_most() {
-    let mut rig = cut_off(settings(OnMiss::Load), 2);
-    let asked = probes(&rig.handle(Event::Request(request(1, 7, 0))));
+fn a_request_waits_for_one_probe_at_most_a_quarter_of_its_time() {
+    let mut rig = cut_off_rig(settings(OnMiss::Load), 2);
+    let probed_workers = probes(&rig.handle(Event::Request(request(1, 7, 0))));
     assert_eq!(probes(&rig.advance(Duration::millis(600))), vec![]);
     let next = probes(&rig.advance(Duration::millis(40)));
-    assert!(next.len() == 1 && next != asked, "{asked:?}, then {next:?}");
+    assert!(next.len() == 1 && next != probed_workers, "{probed_workers:?}, then {next:?}");
     assert_eq!(send_targets(&rig.handle(probed(next[0], Status::Ok))), next);
-    assert_eq!(send_targets(&rig.handle(probed(asked[0], Status::Ok))), vec![], "it waits there no longer");
+    assert_eq!(
+        send_targets(&rig.handle(probed(probed_workers[0], Status::Ok))),
+        vec![],
+        "the request no longer waits for it"
+    );
 }
 
 #[test]
-fn a_request_that_no_worker_takes_is_refused_long_before_its_deadline() {
-    let mut rig = cut_off(settings(OnMiss::Load), 3);
-    let mut asked = probes(&rig.handle(Event::Request(request(1, 7, 0))));
+fn a_request_that_no_worker_accepts_is_rejected_long_before_its_deadline() {
+    let mut rig = cut_off_rig(settings(OnMiss::Load), 3);
+    let mut probed_workers = probes(&rig.handle(Event::Request(request(1, 7, 0))));
     let mut ended = vec![];
     for _ in 0..120 {
-        while let Some(worker) = asked.pop() {
+        while let Some(worker) = probed_workers.pop() {
             let actions = rig.handle(probed(worker, Status::Full));
             ended.extend(final_answers(&actions));
-            asked.extend(probes(&actions));
+            probed_workers.extend(probes(&actions));
         }
         let actions = rig.advance(Duration::millis(10));
         ended.extend(final_answers(&actions));
-        asked.extend(probes(&actions));
+        probed_workers.extend(probes(&actions));
     }
     assert!(matches!(ended[..], [Action::Refuse { .. }]), "{ended:?}");
 }
 
-/// A full worker rejects like one that drains.
+/// A rejection by a full worker cannot be told from one by a draining worker.
 #[test]
-fn a_rejection_in_an_outage_has_the_worker_asked_before_the_next_send() {
-    let mut rig = cut_off(settings(OnMiss::Load), 1);
+fn a_rejection_in_an_outage_has_the_worker_probed_before_the_next_send() {
+    let mut rig = cut_off_rig(settings(OnMiss::Load), 1);
     rig.handle(Event::Request(request(1, 7, 0)));
     rig.handle(probed(WorkerId(1), Status::Ok));
     rig.end_last_attempt(Status::Full);
@@ -178,77 +189,84 @@
     assert!(!rig.policy.is_confirmed(WorkerId(1), rig.now));
 }
 
-/// Discovery that is heard and tells nothing is no better than one that is silent.
+/// Discovery may be reachable but not report a drain.
 #[test]
-fn a_worker_that_rejects_is_asked_why_also_while_the_list_is_valid() {
-    let mut rig = following(settings(OnMiss::Load), 1);
+fn a_worker_that_keeps_rejecting_is_probed_even_while_the_list_is_valid() {
+    let mut rig = following_rig(settings(OnMiss::Load), 1);
     rig.advance(Duration::millis(1_000));
     rig.handle(Event::Request(request(1, 7, 0)));
-    assert_eq!(probes(&rig.end_last_attempt(Status::Full)), vec![], "it may be full");
+    assert_eq!(probes(&rig.end_last_attempt(Status::Full)), vec![], "the worker may be full");
     rig.advance(Duration::millis(200));
     assert_eq!(probes(&rig.end_last_attempt(Status::Full)), vec![]);
     rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
     rig.advance(Duration::millis(200));
-    assert_eq!(probes(&rig.end_last_attempt(Status::Full)), vec![WorkerId(1)], "the third in a row");
+    assert_eq!(
+        probes(&rig.end_last_attempt(Status::Full)),
+        vec![WorkerId(1)],
+        "the third rejection in a row"
+    );
     rig.handle(probed(WorkerId(1), Status::Full));
-    assert!(!rig.policy.is_confirmed(WorkerId(1), rig.now), "it drains, whatever the list says");
+    assert!(!rig.policy.is_confirmed(WorkerId(1), rig.now), "it is draining, whatever the list says");
     rig.advance(Duration::millis(500));
     rig.handle(Event::Members(ListKind::Delta, vec![member(1)]));
     rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
-    assert!(rig.policy.is_confirmed(WorkerId(1), rig.now), "the list has it as ready anew");
+    assert!(rig.policy.is_confirmed(WorkerId(1), rig.now), "the list reports it as ready again");
 }
 
 #[test]
-fn a_worker_that_rejects_again_and_again_is_asked_once_a_second_at_most() {
-    let mut rig = following(settings(OnMiss::Load), 1);
+fn a_worker_that_keeps_rejecting_is_probed_at_most_once_a_second() {
+    let mut rig = following_rig(settings(OnMiss::Load), 1);
     rig.advance(Duration::millis(1_000));
-    let mut asked = 0;
+    let mut probe_count = 0;
     for n in 0..40 {
         rig.handle(Event::Request(request(n, 7, 0)));
         let is_sent = rig.sent.last().is_some_and(|(id, ..)| *id == RequestId(n));
         if is_sent && !probes(&rig.end_last_attempt(Status::Full)).is_empty() {
-            asked += 1;
+            probe_count += 1;
             rig.handle(probed(WorkerId(1), Status::Ok));
         }
         rig.handle(Event::ListSource(ListSource::Received { at: rig.now }));
         rig.advance(Duration::millis(50));
     }
-    assert!((1..=3).contains(&asked), "{asked} in two seconds");
+    assert!((1..=3).contains(&probe_count), "{probe_count} in two seconds");
 }
 
 #[test]
-fn a_load_waits_for_the_workers_word_as_well() {
-    let mut rig = cut_off(settings(OnMiss::Miss), 2);
-    let asked = probes(&rig.handle(Event::Wanted(FunctionId(7), 400.0)));
-    assert_eq!(asked.len(), 1);
-    assert_eq!(rig.handle(Event::Wanted(FunctionId(7), 400.0)), vec![], "asked already");
-    assert_eq!(load_requests(&rig.handle(probed(asked[0], Status::Ok))), vec![(asked[0], FunctionId(7))]);
+fn a_load_request_waits_for_the_probe_as_well() {
+    let mut rig = cut_off_rig(settings(OnMiss::Miss), 2);
+    let probed_workers = probes(&rig.handle(Event::Wanted(FunctionId(7), 400.0)));
+    assert_eq!(probed_workers.len(), 1);
+    assert_eq!(rig.handle(Event::Wanted(FunctionId(7), 400.0)), vec![], "the worker has already been probed");
+    assert_eq!(
+        load_requests(&rig.handle(probed(probed_workers[0], Status::Ok))),
+        vec![(probed_workers[0], FunctionId(7))]
+    );
 }
 
 #[test]
-fn a_load_at_a_worker_that_drains_goes_elsewhere_with_the_request_that_waits_for_it() {
-    let mut rig = cut_off(settings(OnMiss::Miss), 2);
+fn a_load_request_for_a_draining_worker_moves_to_another_with_its_request() {
+    let mut rig = cut_off_rig(settings(OnMiss::Miss), 2);
     let first = probes(&rig.handle(Event::Request(request(1, 7, 0))))[0];
     assert_eq!(send_targets(&rig.handle(probed(first, Status::Ok))), vec![first]);
     let second = probes(&rig.end_last_attempt(Status::Miss))[0];
     assert_eq!(send_targets(&rig.handle(probed(second, Status::Ok))), vec![second]);
-    // Both have been asked too long ago when it turns out that a load is needed.
-    rig.advance(Duration(CONFIRMED.0 + Duration::millis(10).0));
+    // The confirmation of both has expired when it turns out that a load is needed.
+    rig.advance(Duration(CONFIRMATION_LIFETIME.0 + Duration::millis(10).0));
     let actions = rig.end_last_attempt(Status::Miss);
-    let asked = probes(&actions);
-    assert_eq!((asked.len(), load_requests(&actions)), (1, vec![]));
-    let actions = rig.handle(probed(asked[0], Status::Full));
+    let probed_workers = probes(&actions);
+    assert_eq!((probed_workers.len(), load_requests(&actions)), (1, vec![]));
+    let actions = rig.handle(probed(probed_workers[0], Status::Full));
     let next = probes(&actions);
-    assert!(next.len() == 1 && next != asked, "{asked:?}, then {next:?}");
+    assert!(next.len() == 1 && next != probed_workers, "{probed_workers:?}, then {next:?}");
     assert_eq!(load_requests(&rig.handle(probed(next[0], Status::Ok))), vec![(next[0], FunctionId(7))]);
     assert_eq!(send_targets(&rig.end_load(next[0], 7, Status::Ok)), next);
 }
 
-/// In an outage nobody tells when a worker starts. One that was away and takes work again is cold.
+/// During an outage, starts of workers are not reported. A worker that was away and accepts work again is treated as cold.
 #[test]
-fn a_worker_that_comes_back_in_an_outage_is_cold() {
+fn a_worker_that_returns_during_an_outage_is_cold() {
     let sent_to = |comes_back: bool| {
-        let mut rig = cut_off(settings(OnMiss::Load), 2);
+        let mut rig = cut_off_rig(settings(OnMiss::Load), 2);
         if comes_back {
             for worker in [1, 2] {
                 rig.handle(probed(WorkerId(worker), Status::Full));
@@ -274,7 +292,7 @@
     assert!(sent_to(true) < 30, "{} of 40", sent_to(true));
 }
 
-/// Workers of the operator's file are on this host; discovery knows nothing of them.
+/// Workers from the operator's file are on this host and not listed by discovery.
 #[test]
 fn workers_of_the_operators_file_need_no_discovery() {
     let mut rig = Rig::new(settings(OnMiss::Load), 1);
@@ -284,35 +302,36 @@
 }
 
 #[test]
-fn where_no_health_checks_are_allowed_served_requests_count_for_the_protocols_seven_seconds() {
+fn without_health_checks_served_requests_confirm_for_the_protocols_seven_seconds() {
     let mut settings = settings(OnMiss::Load);
     settings.limits.may_probe = false;
-    let mut rig = cut_off(settings, 1);
+    let mut rig = cut_off_rig(settings, 1);
     rig.advance(Duration::millis(5_000));
     assert_eq!(send_targets(&rig.handle(Event::Request(request(1, 7, 0)))), vec![WorkerId(1)]);
     let sent_at = rig.now;
     rig.end_last_attempt(Status::Ok);
-    let until = sent_at + Duration::millis(7_000) + CONFIRMED;
+    let until = sent_at + Duration::millis(7_000) + CONFIRMATION_LIFETIME;
     assert!(rig.policy.is_confirmed(WorkerId(1), until));
     assert!(!rig.policy.is_confirmed(WorkerId(1), until + Duration::millis(1)));
 }
 
-/// A drain right after discovery's last word counts as received 7 s later, so nothing but the last 7 s and the grace count.
+/// A drain right after discovery's last message counts as received 7 s later, so the list is valid for those 7 s and the
+/// grace at most.
 #[test]
-fn where_no_health_checks_are_allowed_the_list_counts_no_longer_than_a_drain_after_the_last_word_may() {
+fn without_health_checks_the_list_is_valid_no_longer_than_a_drain_may_go_unreceived() {
     let mut settings = settings(OnMiss::Load);
     settings.limits.may_probe = false;
     let grace = settings.rules.drain_grace;
-    let rig = following(settings, 1);
-    let due = rig.now + RECEIVED_AT_THE_LATEST + grace;
-    assert!(rig.policy.is_confirmed(WorkerId(1), rig.now + RECEIVED_AT_THE_LATEST));
+    let rig = following_rig(settings, 1);
+    let due = rig.now + MAX_RECEIVE_DELAY + grace;
+    assert!(rig.policy.is_confirmed(WorkerId(1), rig.now + MAX_RECEIVE_DELAY));
     assert!(!rig.policy.is_confirmed(WorkerId(1), due + Duration::millis(1)));
 }
 
-/// The age that a domain tells leaves out the heartbeat of its publisher's discovery.
+/// The age of the list that a domain reports does not include the heartbeat interval of its publisher's discovery.
 #[test]
-fn a_domains_word_counts_from_the_earliest_time_that_it_may_stand_for_where_no_health_checks_are_allowed() {
-    for (may_probe, valid) in [(true, VALID), (false, Duration::millis(7_000 - 1_250 + 1_600))] {
+fn without_health_checks_a_domains_confirmation_counts_from_its_earliest_possible_time() {
+    for (may_probe, valid) in [(true, LIST_LIFETIME), (false, Duration::millis(7_000 - 1_250 + 1_600))] {
         let mut settings = settings(OnMiss::Load);
         settings.limits.may_probe = may_probe;
         let mut rig = Rig::new(settings, 1);
@@ -324,7 +343,7 @@
     }
 }
 
-/// A fleet of workers that drain when they are drawn to, and what a scheduler sends them while discovery is out.
+/// Simulated workers, some of which drain at random times, and one scheduler during an outage of discovery.
 struct Outage {
     rig: Rig,
     rng: SmallRng,
@@ -332,23 +351,25 @@
     may_probe: bool,
     /// Since when each worker drains.
     draining: BTreeMap<WorkerId, Timestamp>,
-    /// What comes back to the scheduler, and when.
-    coming: BTreeMap<(Timestamp, usize), Event>,
-    heard_at: Timestamp,
-    /// Events that were put in line, for their order.
-    events: usize,
+    /// Events to be delivered to the scheduler, by time and order of insertion.
+    pending_events: BTreeMap<(Timestamp, usize), Event>,
+    /// When the last message arrived from discovery.
+    last_message_at: Timestamp,
+    /// Number of events inserted so far.
+    event_count: usize,
     served: usize,
     /// How long the slowest probe takes.
     slowest_probe_ms: u64,
 }
 
-const FLEET: u64 = 8;
-/// Drains within the first second of an outage are those that a list could outlast by its heartbeat.
+const WORKER_COUNT: u64 = 8;
+/// Without health checks, drains begin only within the first second of an outage: those before the next heartbeat would
+/// have been due.
 const LATEST_UNCHECKED_DRAIN_MS: u64 = 1_000;
-/// A drain counts as received no sooner than this after discovery was heard last, by the page on breaks.
-const BREAK: Duration = Duration::millis(2_000);
-/// What discovery would have told counts as received after this time at the latest.
-const RECEIVED_AT_THE_LATEST: Duration = Duration::millis(7_000);
+/// A drain counts as received no sooner than this after the last message from discovery, by the documented rule for breaks.
+const MIN_RECEIVE_DELAY: Duration = Duration::millis(2_000);
+/// What discovery has listed counts as received after this time at the latest.
+const MAX_RECEIVE_DELAY: Duration = Duration::millis(7_000);
 
 impl Outage {
     fn new(seed: u64, may_probe: bool) -> Outage {
@@ -357,69 +378,69 @@
         let grace = Duration::millis([100, 500, 2_000, 5_000][rng.random_range(0..4)]);
         settings.rules.drain_grace = grace;
         settings.limits.may_probe = may_probe;
-        let rig = following(settings, FLEET);
-        let (heard_at, slowest_probe_ms) = (rig.now, [3, 60, 400][rng.random_range(0..3)]);
+        let rig = following_rig(settings, WORKER_COUNT);
+        let (last_message_at, slowest_probe_ms) = (rig.now, [3, 60, 400][rng.random_range(0..3)]);
         Outage {
             rig,
             rng,
             grace,
             may_probe,
             draining: BTreeMap::new(),
-            coming: BTreeMap::new(),
-            heard_at,
-            events: 0,
+            pending_events: BTreeMap::new(),
+            last_message_at,
+            event_count: 0,
             served: 0,
             slowest_probe_ms,
         }
     }
 
-    fn comes(&mut self, after_ms: u64, event: Event) {
+    fn schedule(&mut self, after_ms: u64, event: Event) {
         let at = self.rig.now + Duration::millis(after_ms);
-        self.events += 1;
-        self.coming.insert((at, self.events), event);
+        self.event_count += 1;
+        self.pending_events.insert((at, self.event_count), event);
     }
 
-    fn drains(&self, worker: WorkerId) -> bool {
+    fn is_draining(&self, worker: WorkerId) -> bool {
         self.draining.get(&worker).is_some_and(|since| *since <= self.rig.now)
     }
 
-    /// Nothing new goes to a worker later than the grace after its drain counts as received.
-    fn check(&self, worker: WorkerId) {
+    /// Asserts that no new work is sent to a worker later than the grace after its drain counts as received.
+    fn check_send(&self, worker: WorkerId) {
         let Some(since) = self.draining.get(&worker) else { return };
         let received = if self.may_probe {
-            (*since).max(self.heard_at + BREAK)
+            (*since).max(self.last_message_at + MIN_RECEIVE_DELAY)
         } else {
-            (*since).max(self.heard_at) + RECEIVED_AT_THE_LATEST
+            (*since).max(self.last_message_at) + MAX_RECEIVE_DELAY
         };
         assert!(self.rig.now <= received + self.grace, "{worker:?} drains since {since:?}");
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, worker, .. } => {
-                    self.check(worker);
+                    self.check_send(worker);
                     let attempt = self.rig.sent.iter().filter(|(one, ..)| *one == id).count() as u16 - 1;
-                    let status = if self.drains(worker) { Status::Full } else { Status::Ok };
+                    let status = if self.is_draining(worker) { Status::Full } else { Status::Ok };
                     self.served += usize::from(status == Status::Ok);
                     let after = if status == Status::Ok { self.rng.random_range(20..200) } else { 2 };
                     let latency = Duration::millis(after);
                     let (finished, report) = (status == Status::Ok, vec![]);
                     let (instance, company) = (InstanceNote::Untold, 0);
                     let end = Outcome { id, attempt, status, latency, finished, instance, company, report };
-                    self.comes(after, Event::Outcome(end));
+                    self.schedule(after, Event::Outcome(end));
                 }
                 Action::Load { worker, function, instances, .. } if instances > 0 => {
-                    self.check(worker);
-                    let status = if self.drains(worker) { Status::Full } else { Status::Ok };
+                    self.check_send(worker);
+                    let status = if self.is_draining(worker) { Status::Full } else { Status::Ok };
                     let loaded =
                         Loaded { worker, function, instances: 1, status, latency: Duration::millis(300) };
-                    self.comes(300, Event::Loaded(loaded));
+                    self.schedule(300, Event::Loaded(loaded));
                 }
                 Action::Probe { worker, .. } => {
-                    let status = if self.drains(worker) { Status::Full } else { Status::Ok };
+                    let status = if self.is_draining(worker) { Status::Full } else { Status::Ok };
                     let after = self.rng.random_range(1..=self.slowest_probe_ms);
-                    self.comes(after, probed(worker, status));
+                    self.schedule(after, probed(worker, status));
                 }
                 _ => {}
             }
@@ -436,12 +457,14 @@
         let mut number = 0;
         while self.rig.now < start + Duration::millis(20_000) {
             self.rig.now = self.rig.now + Duration::millis(1);
-            while let Some(next) = self.coming.first_entry().filter(|next| next.key().0 <= self.rig.now) {
+            while let Some(next) =
+                self.pending_events.first_entry().filter(|next| next.key().0 <= self.rig.now)
+            {
                 let actions = {
                     let event = next.remove();
                     self.rig.handle(event)
                 };
-                self.act(actions);
+                self.perform(actions);
             }
             let mut actions = self.rig.handle(Event::Timeout);
             if self.rng.random_range(0..40) == 0 {
@@ -449,14 +472,14 @@
                 let function = self.rng.random_range(1..12);
                 actions.extend(self.rig.handle(Event::Request(request(number, function, 0))));
             }
-            self.act(actions);
+            self.perform(actions);
         }
-        // Where a probe takes longer than its answer may count, nobody can be sure of any worker.
+        // If a probe takes longer than its answer is valid, no worker can be confirmed.
         let counts_ms = self.grace.times(0.8).whole_millis();
         if self.may_probe && self.slowest_probe_ms * 4 <= counts_ms {
             assert!(
                 self.served * 10 >= number as usize * 7,
-                "service goes on: {} of {number}, grace {:?}, probes {} ms",
+                "too few requests served: {} of {number}, grace {:?}, probes {} ms",
                 self.served,
                 self.grace,
                 self.slowest_probe_ms
@@ -466,14 +489,14 @@
 }
 
 #[test]
-fn no_drawn_outage_has_anything_new_sent_after_the_grace() {
+fn no_random_outage_has_new_work_sent_after_the_grace() {
     for seed in 0..150 {
         Outage::new(seed, true).run();
     }
 }
 
 #[test]
-fn no_drawn_outage_has_anything_new_sent_after_the_grace_where_no_health_checks_are_allowed() {
+fn no_random_outage_without_health_checks_has_new_work_sent_after_the_grace() {
     for seed in 0..150 {
         Outage::new(seed, false).run();
     }
