--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: observations with their age, which processes pass on to each other.
+//! Gossip: observations, each with its age, that processes forward to each other.
 //!
 //! A received entry is sent on, so that it reaches the whole fleet within a few rounds, while the traffic of each
 //! process is bounded. Ages are durations, since processes share no clock. The longest transit time of a link is added
@@ -12,7 +12,7 @@
 
 /// Largest age of an update that is stored or sent.
 pub const MAX_AGE: Duration = Duration::millis(10_000);
-/// Largest number of stored topics; beyond it the oldest update is evicted.
+/// Largest number of stored topics; above it the oldest update is evicted.
 const MAX_TOPICS: usize = 4_096;
 /// Time after which an unchanged observation is sent again.
 const UNCHANGED_RESEND_INTERVAL: Duration = Duration::millis(500);
@@ -46,20 +46,20 @@
 /// An update as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipEntry {
-    /// Its subject.
+    /// The subject.
     pub topic: GossipTopic,
-    /// The observation.
+    /// The observation itself.
     pub update: GossipUpdate,
     /// Age of the observation in milliseconds, rounded up.
     pub age_ms: u32,
 }
 
-/// Largest encoded entry in bytes: a topic of 6, an age of 5, and six counts of 3 with their tag; the others are smaller.
+/// Largest encoded entry in bytes, a demand: 6 for the topic, 5 for the age, 1 for the tag and 3 for each of six counts.
 pub const MAX_ENTRY_BYTES: usize = 30;
 
 impl GossipEntry {
-    /// Whether the kind of the update belongs to the kind of the topic.
-    pub fn fits(&self) -> bool {
+    /// Whether the update is of the kind that belongs to the topic.
+    pub fn matches_topic(&self) -> bool {
         matches!(
             (self.topic, self.update),
             (GossipTopic::Worker(_), GossipUpdate::Answers(_))
@@ -83,13 +83,13 @@
 }
 
 impl GossipStore {
-    /// Stores an observation of this process.
+    /// Stores an observation that this process has made.
     pub fn observe(&mut self, now: Timestamp, topic: GossipTopic, update: GossipUpdate) {
         self.store(now, topic, update, now);
     }
 
     /// Stores an entry received over a link with a transit time of at most `delay`. Returns the latest time at which the
-    /// observation was made, or `None` where a later one is known or the entry is too old.
+    /// observation was made, or `None` if a later one is known or the entry is too old.
     pub fn receive(&mut self, now: Timestamp, entry: GossipEntry, delay: Duration) -> Option<Timestamp> {
         let age = Duration::millis(u64::from(entry.age_ms)).0.saturating_add(delay.0);
         if age > MAX_AGE.0 {
@@ -109,7 +109,7 @@
             if at <= stored.at {
                 return None;
             }
-            // An unchanged observation a little later is not sent again, or each health check of a worker would be.
+            // An unchanged observation is not sent again within a short time: otherwise every health check of a worker would be.
             if stored.update != update || at - stored.at >= UNCHANGED_RESEND_INTERVAL {
                 stored.transmissions = 0;
             }
@@ -124,8 +124,8 @@
         Some(at)
     }
 
-    /// Makes room for another topic with an update of `at`, by evicting the oldest update if need be. Returns whether
-    /// there is room: nothing is evicted for an update that is not newer.
+    /// Makes room for another topic whose update was made at `at`, if necessary by evicting the oldest update. Returns
+    /// whether there is room: nothing is evicted for an update that is not newer.
     fn make_room(&mut self, now: Timestamp, at: Timestamp) -> bool {
         if self.stored.len() < MAX_TOPICS {
             return true;
@@ -147,8 +147,8 @@
         self.stored.retain(|_, stored| now - stored.at <= MAX_AGE);
     }
 
-    /// Takes the entries to send next to `receivers` of `members`: those sent least often first, and the youngest of these
-    /// first.
+    /// Takes the entries to send next to `receivers` out of `members`: those sent least often first, and among these the
+    /// most recent first.
     pub fn entries_to_send(&mut self, now: Timestamp, members: usize, receivers: u32) -> Vec<GossipEntry> {
         self.remove_expired(now);
         let max_transmissions = EXTRA_TRANSMISSIONS + usize::BITS - members.leading_zeros();
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -1,15 +1,16 @@
-//! Leases by PaxosLease (Trencseni, Gazso, Reinhardt 2012): who may do a task of the whole fleet, without disk.
+//! Leases by PaxosLease (Trencseni, Gazso, Reinhardt 2012), which need no disk: they decide which process performs a
+//! task for the whole fleet.
 //!
 //! A fixed set of acceptors grants leases; membership never changes its quorum. Each process uses only its own clock,
-//! which must go on while the process or its host is suspended, and whose rate error is bounded.
-//! The invariants, and where each is kept:
+//! which must keep running while the process or its host is suspended, and whose rate error is bounded.
+//! The invariants, and where each is maintained:
 //!
 //! - an acceptor with a valid grant makes no promise to another process ([`acceptor`]);
-//! - an acceptor grants for a full term from the receipt of the request; a holder counts a shorter term, by the
-//!   possible clock drift, from before its request was sent ([`LeaseConfig::holder_term`], [`proposer`]);
+//! - an acceptor grants for a full term from the receipt of the request; a holder counts a term that
+//!   is shorter by the possible clock drift, from before its request was sent ([`LeaseConfig::holder_term`], [`proposer`]);
 //! - a grant counts only for the round of requests that it answers ([`proposer`]);
-//! - an acceptor that has started remembers no grants, so it does not vote for a grace period of the longest term, nor
-//!   before it has learnt the highest counters from others ([`acceptor`]);
+//! - an acceptor that has just started knows no earlier grants, so it votes only after a grace period of the longest
+//!   term, and after it has received the highest counters from others ([`acceptor`]);
 //! - a fence is the counter of the ballot that won, and a ballot wins only above all that a majority has promised.
 
 pub mod acceptor;
@@ -27,11 +28,11 @@
 /// Number of backoff steps in a term.
 const BACKOFF_STEPS_PER_TERM: u64 = 16;
 
-/// A lease: the right to do a task of the whole fleet, or a part of one.
+/// Identifies a lease: the exclusive right to perform a task, or a part of one, for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId(pub u16);
 
-/// A ballot of a lease. No two proposals of a lease share one.
+/// The ballot number of a proposal, unique among all proposals for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     /// Ballots with higher counters supersede those with lower ones.
@@ -45,7 +46,7 @@
 pub enum LeaseMessage {
     /// To an acceptor: request for a promise.
     Prepare(Ballot),
-    /// From an acceptor: promised, as nobody else holds the lease and no higher ballot was promised.
+    /// From an acceptor: promised, as no other process holds the lease and no higher ballot was promised.
     Promise(Ballot),
     /// From an acceptor: another process holds the lease, for at most this many nanoseconds.
     Held(Ballot, u64),
@@ -53,27 +54,27 @@
     Behind(Ballot, u64),
     /// To an acceptor: request for a grant of one term, with the number of the round of requests.
     Propose(Ballot, u32),
-    /// From an acceptor: granted, with the number of the round that is answered.
+    /// From an acceptor: granted, with the number of the round that this answers.
     Granted(Ballot, u32),
     /// To an acceptor: the sender no longer uses any grant of this ballot or of an earlier one.
     Release(Ballot),
     /// To a candidate for the lease: its holder has released it. Only a hint.
     Free,
-    /// To an acceptor, from one that has started: request for its highest counter.
+    /// To an acceptor, from one that has just started: request for its highest counter.
     Ask,
     /// From an acceptor: its highest counter, and whether it votes.
     Floor(u64, bool),
 }
 
 impl LeaseMessage {
-    /// Whether it is an answer of an acceptor.
+    /// Whether this is an answer of an acceptor.
     pub fn is_answer(&self) -> bool {
         use LeaseMessage::{Behind, Floor, Granted, Held, Promise};
         matches!(self, Promise(_) | Held(..) | Behind(..) | Granted(..) | Floor(..))
     }
 }
 
-/// A lease held by this process: while `now < until` no other process holds it.
+/// The grant under which this process holds a lease: while `now < until` no other process holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGrant {
     /// Fencing token, higher than that of every earlier holder.
@@ -97,30 +98,30 @@
     pub grace_period: Duration,
     /// Number of voting acceptors whose counters an acceptor that has started must know before it votes.
     pub recovery_quorum: usize,
-    /// Unit of backoff: between attempts of one process, and between candidates of successive ranks.
+    /// Unit of backoff, both between attempts of one process and between candidates of successive ranks.
     pub backoff_step: Duration,
-    /// A guard switched off on purpose, to show that the model checker finds what it prevents.
+    /// A guard that is switched off to show that the model checker finds the fault that it prevents.
     #[cfg(test)]
     pub disabled_guard: Option<DisabledGuard>,
 }
 
-/// Guards that tests can switch off, beside those that are figures of the configuration.
+/// Guards that tests can switch off, in addition to those that are values of the configuration.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DisabledGuard {
-    /// The term counts from the majority's answers.
+    /// With the guard off, the holder counts its term from the majority's answers.
     CountsFromAnswers,
-    /// Any grant of the ballot counts for the latest round.
+    /// With the guard off, any grant of the ballot counts for the latest round.
     AnyRound,
-    /// A standing grant does not keep an acceptor from promising.
+    /// With the guard off, an acceptor promises although it has a valid grant to another process.
     PromisesOthers,
-    /// A release frees whatever its sender was granted, also later.
+    /// With the guard off, a release ends any grant to its sender, also a later one.
     AnyRelease,
 }
 
 impl LeaseConfig {
-    /// Parameters for leases of `term` with clocks whose rates are off by at most `drift_ppm` millionths, and acceptors
-    /// that have never granted for longer than `longest`.
+    /// Parameters for leases of `term`, for clocks whose rate error is at most `drift_ppm` millionths, and for acceptors
+    /// that have never granted a lease for longer than `longest`.
     pub fn new(acceptors: Vec<u32>, term: Duration, longest: Duration, drift_ppm: u64) -> LeaseConfig {
         let quorum = acceptors.len() / 2 + 1;
         let drift = u128::from(drift_ppm.min(500_000));
@@ -128,7 +129,7 @@
         let fast = 1_000_000 + drift;
         // The holder's clock may be the slowest and an acceptor's the fastest.
         let holder_term = Duration((u128::from(term.0) * slow / fast) as u64);
-        // The holder of an earlier grant counts by its own clock, and this acceptor's after its restart may be faster.
+        // The holder of an earlier grant counts by its own clock; that of the restarted acceptor may be faster.
         let grace_period = Duration((u128::from(longest.0) * fast).div_ceil(slow) as u64);
         let backoff_step = Duration(term.0 / BACKOFF_STEPS_PER_TERM);
         LeaseConfig {
--- a/src/fleet/lease/node.rs
+++ b/src/fleet/lease/node.rs
@@ -1,6 +1,6 @@
-//! One process's part in all leases: its acceptor, if it is one, and a proposer for each lease.
+//! The part of one process in all leases: its acceptor, if it has one, and a proposer for each lease.
 //!
-//! Messages between its own proposers and its own acceptor are handled here and never sent.
+//! Messages between a process's own proposers and its own acceptor are handled here and never sent.
 
 use super::acceptor::Acceptor;
 use super::proposer::Proposer;
@@ -14,16 +14,16 @@
 pub enum Destination {
     /// The process that has this index now.
     Acceptor(u32),
-    /// This very process.
+    /// This process, with this incarnation.
     Process(Process),
 }
 
-/// A message to be sent.
+/// A lease message to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseEnvelope {
     /// Its receiver.
     pub to: Destination,
-    /// The lease that it is about.
+    /// The lease that the message is about.
     pub lease: LeaseId,
     /// The message.
     pub message: LeaseMessage,
@@ -32,22 +32,27 @@
 /// Messages to be sent, in order.
 pub type LeaseOutput = Vec<LeaseEnvelope>;
 
-/// All leases, as one process takes part in them.
+/// The proposers and the acceptor of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseNode {
     process: Process,
     acceptor: Option<Acceptor>,
     proposers: BTreeMap<LeaseId, Proposer>,
-    /// When to ask the other acceptors for their counters again, while its own does not vote.
-    ask_at: Option<Timestamp>,
+    /// When to ask the other acceptors for their counters again; `None` once its own acceptor votes.
+    ask_counters_at: Option<Timestamp>,
 }
 
 impl LeaseNode {
-    /// A process that has just started. `fence_floor` bounds the fences in use from above; see [`Acceptor::new`].
+    /// A process that has just started. `fence_floor` is an upper bound of the fences in use; see [`Acceptor::new`].
     pub fn new(process: Process, now: Timestamp, fence_floor: u64, config: &LeaseConfig) -> LeaseNode {
-        let votes = config.acceptors.contains(&process.index);
-        let acceptor = votes.then(|| Acceptor::new(process.index, now, fence_floor, config));
-        LeaseNode { process, acceptor, proposers: BTreeMap::new(), ask_at: votes.then_some(now) }
+        let is_acceptor = config.acceptors.contains(&process.index);
+        let acceptor = is_acceptor.then(|| Acceptor::new(process.index, now, fence_floor, config));
+        LeaseNode {
+            process,
+            acceptor,
+            proposers: BTreeMap::new(),
+            ask_counters_at: is_acceptor.then_some(now),
+        }
     }
 
     /// This process.
@@ -55,7 +60,7 @@
         self.process
     }
 
-    /// Its acceptor; `None` where it is not one of the configured acceptors.
+    /// Its acceptor; `None` if it is not one of the configured acceptors.
     pub fn acceptor(&self) -> Option<&Acceptor> {
         self.acceptor.as_ref()
     }
@@ -72,31 +77,32 @@
 
     /// When [`LeaseNode::on_timeout`] is to be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        let own = self.acceptor.as_ref().and_then(Acceptor::next_timeout).into_iter().chain(self.ask_at);
+        let own =
+            self.acceptor.as_ref().and_then(Acceptor::next_timeout).into_iter().chain(self.ask_counters_at);
         self.proposers.values().filter_map(Proposer::next_timeout).chain(own).min()
     }
 
-    /// Sets this process's rank among the candidates for a lease; see [`Proposer::want`].
-    pub fn want(&mut self, now: Timestamp, lease: LeaseId, rank: Option<u32>, config: &LeaseConfig) {
+    /// Sets this process's rank among the candidates for a lease; see [`Proposer::set_rank`].
+    pub fn set_rank(&mut self, now: Timestamp, lease: LeaseId, rank: Option<u32>, config: &LeaseConfig) {
         let process = self.process;
         let proposer = self.proposers.entry(lease).or_insert_with(|| Proposer::new(process));
-        proposer.want(now, rank, config);
+        proposer.set_rank(now, rank, config);
     }
 
     /// Releases a lease, if this process holds it.
     pub fn release(&mut self, now: Timestamp, lease: LeaseId, config: &LeaseConfig, out: &mut LeaseOutput) {
         let message = self.proposers.get_mut(&lease).and_then(Proposer::release);
-        self.ask_electors(now, lease, message, config, out);
+        self.send_to_acceptors(now, lease, message, config, out);
     }
 
-    /// The time of [`LeaseNode::next_timeout`] has come.
+    /// The time of [`LeaseNode::next_timeout`] has been reached.
     pub fn on_timeout(&mut self, now: Timestamp, config: &LeaseConfig, out: &mut LeaseOutput) {
         if let Some(acceptor) = &mut self.acceptor {
             acceptor.on_timeout(now, config);
-            self.ask_at = self.ask_at.filter(|_| !acceptor.votes());
+            self.ask_counters_at = self.ask_counters_at.filter(|_| !acceptor.votes());
         }
-        if self.ask_at.is_some_and(|at| at <= now) {
-            self.ask_at = Some(now + Duration(config.grace_period.0.max(8) / 8));
+        if self.ask_counters_at.is_some_and(|at| at <= now) {
+            self.ask_counters_at = Some(now + Duration(config.grace_period.0.max(8) / 8));
             let others = config.acceptors.iter().filter(|index| **index != self.process.index);
             out.extend(others.map(|index| LeaseEnvelope {
                 to: Destination::Acceptor(*index),
@@ -110,7 +116,7 @@
         for lease in leases {
             let message =
                 self.proposers.get_mut(&lease).and_then(|proposer| proposer.on_timeout(now, config));
-            self.ask_electors(now, lease, message, config, out);
+            self.send_to_acceptors(now, lease, message, config, out);
         }
     }
 
@@ -129,17 +135,17 @@
             | LeaseMessage::Held(ballot, _)
             | LeaseMessage::Behind(ballot, _)
             | LeaseMessage::Granted(ballot, _) => {
-                // An answer to an earlier process with this index.
+                // The answer is meant for an earlier process with this index.
                 if ballot.process != self.process {
                     return;
                 }
                 let proposer = self.proposers.get_mut(&lease);
                 let message = proposer.and_then(|proposer| proposer.handle(now, from.index, message, config));
-                self.ask_electors(now, lease, message, config, out);
+                self.send_to_acceptors(now, lease, message, config, out);
             }
             LeaseMessage::Free => {
                 if let Some(proposer) = self.proposers.get_mut(&lease) {
-                    proposer.free(now, config);
+                    proposer.on_released(now, config);
                 }
             }
             _ => {
@@ -153,8 +159,9 @@
         }
     }
 
-    /// Sends to all acceptors; this process's own acceptor answers at once.
-    fn ask_electors(
+    /// Sends a message to all acceptors. This process's own acceptor answers immediately, which may give rise to another
+    /// message.
+    fn send_to_acceptors(
         &mut self,
         now: Timestamp,
         lease: LeaseId,
@@ -162,8 +169,8 @@
         config: &LeaseConfig,
         out: &mut LeaseOutput,
     ) {
-        let mut waiting = VecDeque::from_iter(message);
-        while let Some(message) = waiting.pop_front() {
+        let mut pending = VecDeque::from_iter(message);
+        while let Some(message) = pending.pop_front() {
             for index in config.acceptors.iter().filter(|index| **index != self.process.index) {
                 out.push(LeaseEnvelope { to: Destination::Acceptor(*index), lease, message });
             }
@@ -171,7 +178,7 @@
             let answer =
                 own.and_then(|acceptor| acceptor.handle(now, self.process.index, lease, message, config));
             let proposer = self.proposers.get_mut(&lease).zip(answer);
-            waiting.extend(
+            pending.extend(
                 proposer
                     .and_then(|(proposer, answer)| proposer.handle(now, self.process.index, answer, config)),
             );
@@ -179,22 +186,22 @@
     }
 }
 
-/// Access for the model checker.
+/// Methods for the model checker.
 #[cfg(test)]
 impl LeaseNode {
-    /// Makes the acceptor vote as one that has run for long.
-    pub fn settle(&mut self) {
-        self.ask_at = None;
-        self.acceptor.iter_mut().for_each(Acceptor::settle);
+    /// Makes the acceptor vote at once, as if its grace period had passed.
+    pub fn skip_grace_period(&mut self) {
+        self.ask_counters_at = None;
+        self.acceptor.iter_mut().for_each(Acceptor::skip_grace_period);
     }
 
-    /// How far this process's own ballots and rounds have come.
+    /// The latest ballot counter and round number of this process's proposer.
     pub fn counters(&self, lease: LeaseId) -> (u64, u32) {
         self.proposers.get(&lease).map_or((0, 0), |proposer| (proposer.counter(), proposer.rounds()))
     }
 
-    /// Whether a message could still change anything, now or later, as far as this process alone can tell.
-    pub fn accepts(
+    /// Whether a message could still change the state, now or later, as far as this process alone can determine.
+    pub fn may_have_effect(
         &self,
         lease: LeaseId,
         from: Process,
@@ -206,30 +213,32 @@
             | LeaseMessage::Held(ballot, _)
             | LeaseMessage::Behind(ballot, _)
             | LeaseMessage::Granted(ballot, _) => {
-                ballot.process == self.process && self.proposers[&lease].accepts(from.index, message, config)
+                ballot.process == self.process
+                    && self.proposers[&lease].may_have_effect(from.index, message, config)
             }
             LeaseMessage::Prepare(ballot) | LeaseMessage::Propose(ballot, _) => {
-                self.acceptor.as_ref().is_some_and(|acceptor| acceptor.accepts(lease, ballot))
+                self.acceptor.as_ref().is_some_and(|acceptor| acceptor.may_accept(lease, ballot))
             }
             LeaseMessage::Release(_) | LeaseMessage::Ask => self.acceptor.is_some(),
             LeaseMessage::Free => false,
-            LeaseMessage::Floor(counter, votes) => {
-                self.acceptor.as_ref().is_some_and(|acceptor| acceptor.learns(from.index, counter, votes))
-            }
+            LeaseMessage::Floor(counter, votes) => self
+                .acceptor
+                .as_ref()
+                .is_some_and(|acceptor| acceptor.floor_has_effect(from.index, counter, votes)),
         }
     }
 
-    /// Whether this process still waits for answers to a message of its own.
-    pub fn waits(&self, lease: LeaseId, message: LeaseMessage) -> bool {
-        self.proposers.get(&lease).is_some_and(|proposer| proposer.waits(message))
+    /// Whether this process still waits for answers to this message of its own.
+    pub fn awaits_answer_to(&self, lease: LeaseId, message: LeaseMessage) -> bool {
+        self.proposers.get(&lease).is_some_and(|proposer| proposer.awaits_answer_to(message))
     }
 
-    /// Shifts all times to be as seen from `to`, and those that have passed alike.
-    pub fn shift(&mut self, now: Timestamp, to: Timestamp, config: &LeaseConfig) {
-        let ahead = |at: Timestamp| to + (at - now);
-        // It may ask the other acceptors at any time.
-        self.ask_at = self.ask_at.map(|_| to);
-        self.acceptor.iter_mut().for_each(|acceptor| acceptor.shift(now, ahead));
-        self.proposers.values_mut().for_each(|proposer| proposer.shift(now, to, config));
+    /// Shifts all times so that the present `now` becomes `to`. All times that have passed become `to`.
+    pub fn shift_times(&mut self, now: Timestamp, to: Timestamp, config: &LeaseConfig) {
+        let shifted = |at: Timestamp| to + (at - now);
+        // The model lets it ask the other acceptors at any time.
+        self.ask_counters_at = self.ask_counters_at.map(|_| to);
+        self.acceptor.iter_mut().for_each(|acceptor| acceptor.shift_times(now, shifted));
+        self.proposers.values_mut().for_each(|proposer| proposer.shift_times(now, to, config));
     }
 }
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -2,9 +2,9 @@
 //!
 //! The traffic of one process does not grow with the fleet: each period it probes one random member, probes it through
 //! a few others if it does not answer, and gossips changes to a few members. Members that are considered down are
-//! probed now and then, so that the two sides of a partition find each other again.
+//! contacted periodically, so that the two sides of a partition find each other again.
 //!
-//! Membership does not decide who holds a lease: member lists differ from process to process.
+//! Membership does not decide which process holds a lease, since member lists differ from process to process.
 
 use super::Process;
 use crate::interface::{Duration, Timestamp};
@@ -16,16 +16,16 @@
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
 
-/// Largest packet: a datagram less its header.
+/// Largest packet in bytes: leaves room for the header of a datagram.
 pub const MAX_PACKET_BYTES: usize = 1_200;
-/// Members through which a silent member is probed, and to which changes are gossiped at a time.
-const FANOUT: usize = 3;
-/// Periods after which a process that is alone, or does not know some acceptor, announces itself to acceptors again.
+/// Number of members through which an unresponsive member is probed, and to which changes are gossiped at a time.
+const MEMBERSHIP_FANOUT: usize = 3;
+/// Periods after which a process that knows no other member, or misses some acceptor, announces itself to acceptors again.
 const ACCEPTOR_RETRY_PERIODS: u64 = 4;
-/// Time for which a member that is down is remembered.
+/// How long a member that is down is remembered.
 const DOWN_MEMBER_MEMORY: Duration = Duration::millis(60_000);
-/// Periods after which another process reported under this one's index counts as alive: an earlier process that has
-/// crashed is considered down by then.
+/// Periods after which another process that is reported under this one's index counts as running: if it were an earlier
+/// process that has crashed, it would be considered down by then.
 const DUPLICATE_CONFIRM_PERIODS: u64 = 10;
 
 /// Identity of a member.
@@ -33,12 +33,13 @@
 pub struct Identity {
     /// The process.
     pub process: Process,
-    /// Orders processes that share an index: the higher one is the member, which is the later one as far as clocks tell.
+    /// Orders processes that share an index: the one with the higher generation is the member. It is the later one unless
+    /// a clock was set back.
     pub generation: u64,
     /// How often it has rejoined with this generation after it was considered down. Bounded, so that it never exceeds a
     /// later generation.
     pub turn: u8,
-    /// The address that it announces.
+    /// The address that the process announces.
     pub at: SocketAddr,
 }
 
@@ -58,12 +59,13 @@
     }
 }
 
-/// Which process is known under an index: asked of the acceptors by one that starts, or that was considered down.
+/// A query for the process known under an index, or its answer. A process asks the acceptors when it starts or was
+/// considered down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdentityQuery {
     /// Request for the process known under the sender's index.
     Ask,
-    /// Answer: this process with this generation is known, and whether it is up.
+    /// Answer: the process known under the index, its generation, and whether it is up.
     Known(Process, u64, bool),
 }
 
@@ -74,7 +76,7 @@
     Up(Identity),
     /// A process has left, or is considered down.
     Down(Identity),
-    /// Another process with this one's index is the member: this process has left the fleet.
+    /// Another process with this one's index is the member, so this process has left the fleet.
     DuplicateIdentity,
 }
 
@@ -137,31 +139,31 @@
     }
 
     fn foca(&self) -> foca::Config {
-        let time = |span: Duration| std::time::Duration::from_nanos(span.0.max(1_000_000));
-        let few = NonZeroUsize::new(FANOUT).unwrap_or(NonZeroUsize::MIN);
+        let std_duration = |span: Duration| std::time::Duration::from_nanos(span.0.max(1_000_000));
+        let fanout = NonZeroUsize::new(MEMBERSHIP_FANOUT).unwrap_or(NonZeroUsize::MIN);
         let transmissions = 32 - self.size.max(2).leading_zeros();
-        let every = |frequency: Duration, num_members| {
-            Some(PeriodicParams { frequency: time(frequency), num_members })
+        let periodic = |frequency: Duration, num_members| {
+            Some(PeriodicParams { frequency: std_duration(frequency), num_members })
         };
         let period = self.period();
         foca::Config {
-            probe_period: time(period),
-            probe_rtt: time(self.round_trip()),
-            num_indirect_probes: few,
-            // A change reaches almost all members after so many transmissions, the rest by periodic gossip.
+            probe_period: std_duration(period),
+            probe_rtt: std_duration(self.round_trip()),
+            num_indirect_probes: fanout,
+            // After this many transmissions a change has reached almost all members; periodic gossip reaches the rest.
             max_transmissions: NonZeroU8::new(transmissions.clamp(4, 15) as u8).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: time(Duration(period.0 * 2)),
-            remove_down_after: Some(time(DOWN_MEMBER_MEMORY)),
+            suspect_to_down_after: std_duration(Duration(period.0 * 2)),
+            remove_down_after: Some(std_duration(DOWN_MEMBER_MEMORY)),
             max_packet_size: NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
-            periodic_announce: every(Duration(period.0 * 16), NonZeroUsize::MIN),
-            periodic_announce_to_down_members: every(Duration(period.0 * 4), NonZeroUsize::MIN),
-            periodic_gossip: every(Duration(period.0 / 2), few),
+            periodic_announce: periodic(Duration(period.0 * 16), NonZeroUsize::MIN),
+            periodic_announce_to_down_members: periodic(Duration(period.0 * 4), NonZeroUsize::MIN),
+            periodic_gossip: periodic(Duration(period.0 / 2), fanout),
         }
     }
 }
 
-/// A later process that is reported under this one's index while this one is a member.
+/// A later process was reported under this one's index while this one is a member.
 #[derive(Clone, Copy, Debug)]
 struct IdentityDoubt {
     since: Timestamp,
@@ -169,7 +171,7 @@
     ask_at: Timestamp,
 }
 
-/// A timer of foca. The number keeps timers of one time in the order in which they were set.
+/// Key of a foca timer. The number keeps timers that expire at the same time in the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     at: Timestamp,
@@ -184,14 +186,15 @@
     next_timer: u64,
     /// The other members that are up, by index.
     members: BTreeMap<u32, Identity>,
-    /// When to announce this process to an acceptor, and how often it was announced.
-    ask_at: Timestamp,
-    asked: usize,
+    /// When to announce this process to an acceptor.
+    announce_at: Timestamp,
+    /// How often it was announced, including the first identity query.
+    announcements: usize,
     /// Since when this process has been joining; `None` once it is a member. Until then the acceptors may report an
     /// earlier process with this index.
     joining_since: Option<Timestamp>,
     doubt: Option<IdentityDoubt>,
-    /// Whether it is no member any more.
+    /// Whether this process is no longer a member.
     left: bool,
 }
 
@@ -216,8 +219,8 @@
             timers: BTreeMap::new(),
             next_timer: 0,
             members: BTreeMap::new(),
-            ask_at: now,
-            asked: 0,
+            announce_at: now,
+            announcements: 0,
             joining_since: Some(now),
             doubt: None,
             left: false,
@@ -236,7 +239,7 @@
         }
         let timer = self.timers.keys().next().map(|key| key.at);
         let doubt = self.doubt.map(|doubt| doubt.ask_at);
-        [timer, Some(self.ask_at), doubt].into_iter().flatten().min()
+        [timer, Some(self.announce_at), doubt].into_iter().flatten().min()
     }
 
     /// The time of [`Membership::next_timeout`] has been reached.
@@ -244,7 +247,7 @@
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().at <= now) {
             let timer = entry.remove();
             let mut pending = PendingOutput::default();
-            // An error only says that the timer is outdated.
+            // An error only means that the timer is outdated.
             let _ = self.foca.handle_timer(timer, &mut pending);
             self.apply(now, pending, out);
         }
@@ -252,21 +255,22 @@
             self.doubt = Some(IdentityDoubt { ask_at: now + self.config.period(), ..doubt });
             self.query_identity(out);
         }
-        if self.ask_at <= now && !self.left {
+        if self.announce_at <= now && !self.left {
             self.join_or_announce(now, out);
         }
     }
 
-    /// Asks at first which process is known under this index, and announces this process from then on.
+    /// First asks which process is known under this index, then announces this process.
     fn join_or_announce(&mut self, now: Timestamp, out: &mut MembershipOutput) {
-        let just_started = self.joining_since.is_some_and(|since| since <= self.ask_at) && self.asked == 0;
+        let just_started =
+            self.joining_since.is_some_and(|since| since <= self.announce_at) && self.announcements == 0;
         if just_started {
-            self.asked = 1;
-            self.ask_at = now + self.config.round_trip();
+            self.announcements = 1;
+            self.announce_at = now + self.config.round_trip();
             self.query_identity(out);
         } else {
             self.joining_since = None;
-            self.ask_at = now + Duration(self.config.period().0 * ACCEPTOR_RETRY_PERIODS);
+            self.announce_at = now + Duration(self.config.period().0 * ACCEPTOR_RETRY_PERIODS);
             self.announce_to_acceptors(now, out);
         }
     }
@@ -282,16 +286,16 @@
         );
     }
 
-    /// Handles a query of another process about its index, or an answer about this one's.
+    /// Handles another process's query about its own index, or an answer about this process's index.
     pub fn handle_identity_query(
         &mut self,
         now: Timestamp,
         from: Process,
-        who: IdentityQuery,
+        query: IdentityQuery,
         out: &mut MembershipOutput,
     ) {
         let own = self.foca.identity().clone();
-        match who {
+        match query {
             IdentityQuery::Ask => {
                 let mut known = self.foca.iter_membership_state();
                 let known = known.find(|member| member.id().process.index == from.index);
@@ -310,13 +314,13 @@
                 self.left = true;
                 out.changes.push(MembershipChange::DuplicateIdentity);
             }
-            // An earlier process with this index, or another one: the later of the two is the member.
+            // An earlier process with this index, or a second one: the later of the two is the member.
             IdentityQuery::Known(_, generation, up)
                 if generation >= own.generation && (!up || self.joining_since.is_some()) =>
             {
                 self.supersede(now, generation + 1, out);
             }
-            // A later process has started while this one was a member. foca answers both: the acceptors are asked.
+            // A later process has started while this one was a member. foca answers both, so the acceptors are asked.
             IdentityQuery::Known(_, generation, true) if generation > own.generation => {
                 self.doubt = self.doubt.or(Some(IdentityDoubt { since: now, ask_at: now }));
             }
@@ -324,13 +328,13 @@
         }
     }
 
-    /// Whether another process under this one's index has been up for so long that it cannot be an earlier one.
+    /// Whether another process has been up under this one's index for so long that it cannot be a crashed earlier one.
     fn is_duplicate_confirmed(&self, now: Timestamp) -> bool {
         let limit = Duration(self.config.period().0 * DUPLICATE_CONFIRM_PERIODS);
         self.doubt.is_some_and(|doubt| now - doubt.since > limit)
     }
 
-    /// Rejoins with a generation that is later than all that the others know.
+    /// Rejoins with a generation higher than any that other members know.
     fn supersede(&mut self, now: Timestamp, generation: u64, out: &mut MembershipOutput) {
         let mut pending = PendingOutput::default();
         let next = Identity { generation, turn: 0, ..self.foca.identity().clone() };
@@ -339,20 +343,20 @@
         self.apply(now, pending, out);
     }
 
-    /// Announces this process to an acceptor that is not known to be up, or to all of them where it knows no member.
+    /// Announces this process to an acceptor that is not known to be up, or to all acceptors if it knows no member.
     fn announce_to_acceptors(&mut self, now: Timestamp, out: &mut MembershipOutput) {
         let own = self.foca.identity().process.index;
         let missing = |index: &u32| *index != own && !self.members.contains_key(index);
         let missing: Vec<u32> = self.config.contacts.keys().copied().filter(missing).collect();
-        // A process that knows no member announces itself to all. Otherwise one at a time: a fleet of hundreds that starts
-        // at once must not flood them repeatedly.
+        // A process that knows no member announces itself to all acceptors, otherwise to one at a time: hundreds of
+        // processes that start together must not flood the acceptors repeatedly.
         let alone = self.members.is_empty();
         let chosen: Vec<u32> = match missing.len() {
             0 => return,
             _ if alone => missing,
-            count => vec![missing[self.asked % count]],
+            count => vec![missing[self.announcements % count]],
         };
-        self.asked += 1;
+        self.announcements += 1;
         for index in chosen {
             let at = self.config.contacts[&index];
             // Its incarnation is not known; the process that has this index accepts the announcement.
@@ -363,13 +367,13 @@
         }
     }
 
-    /// The member under the index of `process`, if it is another process.
-    pub fn in_place_of(&self, process: Process) -> Option<IdentityQuery> {
+    /// The member that has the index of `process`, if it is another process.
+    pub fn current_member_for(&self, process: Process) -> Option<IdentityQuery> {
         let member = self.members.get(&process.index).filter(|member| member.process != process)?;
         Some(IdentityQuery::Known(member.process, member.generation, true))
     }
 
-    /// Handles a packet of another member; false where it is malformed.
+    /// Handles a packet of another member; returns false if it is malformed.
     pub fn receive(&mut self, now: Timestamp, packet: &[u8], out: &mut MembershipOutput) -> bool {
         if self.left {
             return true;
@@ -406,7 +410,7 @@
             self.members.insert(member.process.index, member.clone());
             out.changes.push(MembershipChange::Up(member));
         }
-        // A member that has changed its identity has been up all the while: no change is reported.
+        // A member that has changed its identity has stayed up: no change is reported.
         for member in self.foca.iter_members().map(foca::Member::id) {
             if self.members.get(&member.process.index).is_some_and(|known| known != member) {
                 self.members.insert(member.process.index, member.clone());
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,7 +1,7 @@
 //! Codec of the datagrams between processes: a header, a body, and a checksum.
 //!
-//! `magic:3 version:1 fleet:8 body checksum:4`, the numbers big-endian, the body in postcard's encoding. Datagrams
-//! that are truncated, corrupted, or of another fleet or version are rejected.
+//! The layout is `magic:3 version:1 fleet:8 body checksum:4`: numbers are big-endian, the body is encoded with
+//! postcard. Datagrams that are truncated, corrupted, or of another fleet or version are rejected.
 
 use super::Process;
 use super::distribution;
@@ -10,9 +10,9 @@
 use super::membership::IdentityQuery;
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram in bytes: what ordinary links carry without fragmentation.
+/// Largest datagram in bytes: ordinary links carry it without fragmentation.
 pub const LARGEST: usize = 1_400;
-/// Largest number of lease messages in one datagram: one takes at most 40 bytes.
+/// Largest number of lease messages in one datagram; each takes at most 40 bytes.
 pub const LEASES: usize = 30;
 const MAGIC: &[u8; 3] = b"mgf";
 /// Version of the layout of the body.
@@ -23,17 +23,17 @@
 /// The contents of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Its sender.
+    /// The sending process.
     pub from: Process,
-    /// Messages about leases.
+    /// Lease messages.
     pub leases: Vec<(LeaseId, LeaseMessage)>,
-    /// A packet of the membership; empty where there is none.
+    /// A SWIM packet of the membership protocol; empty if there is none.
     pub swim: Vec<u8>,
     /// An identity query or its answer.
     pub who: Option<IdentityQuery>,
-    /// Gossip.
+    /// Gossiped observations.
     pub gossip: Vec<GossipEntry>,
-    /// Messages of the distribution.
+    /// Messages of the distribution protocol.
     pub distribution: Vec<distribution::DistributionMessage>,
 }
 
@@ -55,7 +55,7 @@
     Fleet,
 }
 
-/// Hash of a fleet's name and of what its processes must agree on.
+/// Hashes a fleet's name and the settings on which its processes must agree.
 pub fn fleet(name: &str, agreed: &[u64]) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in name.bytes().chain(agreed.iter().flat_map(|n| n.to_be_bytes())) {
@@ -75,25 +75,26 @@
     out
 }
 
-/// Decodes a datagram. None longer than [`LARGEST`] is read, which bounds what a peer can make this process allocate.
+/// Decodes a datagram. Datagrams longer than [`LARGEST`] are rejected, which bounds what a peer can make this process
+/// allocate.
 ///
 /// # Errors
-/// The datagram is cut off or changed, of another version, or of another fleet.
+/// The datagram is truncated or corrupted, of another version, or of another fleet.
 pub fn read(fleet: u64, bytes: &[u8]) -> Result<Datagram, DatagramError> {
     if bytes.len() > LARGEST || bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || !bytes.starts_with(MAGIC) {
         return Err(DatagramError::Malformed);
     }
-    let (rest, sum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
-    if crc32fast::hash(rest).to_be_bytes() != sum {
+    let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
+    if crc32fast::hash(content).to_be_bytes() != checksum {
         return Err(DatagramError::Malformed);
     }
-    if rest[MAGIC.len()] != VERSION {
+    if content[MAGIC.len()] != VERSION {
         return Err(DatagramError::Version);
     }
-    if rest[MAGIC.len() + 1..HEADER_BYTES] != fleet.to_be_bytes() {
+    if content[MAGIC.len() + 1..HEADER_BYTES] != fleet.to_be_bytes() {
         return Err(DatagramError::Fleet);
     }
-    match postcard::take_from_bytes(&rest[HEADER_BYTES..]) {
+    match postcard::take_from_bytes(&content[HEADER_BYTES..]) {
         Ok((datagram, [])) => Ok(datagram),
         _ => Err(DatagramError::Malformed),
     }
--- a/src/fleet/node/absence.rs
+++ b/src/fleet/node/absence.rs
@@ -1,9 +1,9 @@
-//! Which processes of the fleet are gone: absent for so long that others take over their work.
+//! Tracks which processes of the fleet are gone: absent for so long that others take over their work.
 
 use crate::interface::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Indices below this one are tracked; bounds the memory of a fleet whose size is configured too large.
+/// Only indices below this one are tracked, which bounds memory if the fleet's size is configured too large.
 const MAX_TRACKED_INDICES: u32 = 4096;
 
 /// Processes that are not members, and those of them that were reported as gone.
@@ -11,15 +11,15 @@
 pub(super) struct Absence {
     /// Number of indices that are tracked.
     tracked: u32,
-    /// How long a process is absent before it counts as gone: a restart or an upgrade takes less.
+    /// How long a process is absent before it counts as gone; longer than a restart or an upgrade takes.
     grace: Duration,
-    /// Absent processes by index, with the start of their absence or of this process.
+    /// When each absent process was lost, by index; for those not seen yet, when this process started.
     absent_since: BTreeMap<u32, Timestamp>,
     reported_gone: BTreeSet<u32>,
 }
 
 impl Absence {
-    /// All processes but `own` are absent as of now.
+    /// Starts with all processes but `own` absent as of now.
     pub fn new(now: Timestamp, fleet_size: u32, own: u32, grace: Duration) -> Absence {
         let tracked = fleet_size.min(MAX_TRACKED_INDICES);
         let absent_since = (0..tracked).filter(|index| *index != own).map(|index| (index, now)).collect();
@@ -44,7 +44,7 @@
         unreported.map(|(_, since)| *since + self.grace).min()
     }
 
-    /// All processes that are gone, if they are others than those last reported.
+    /// All processes that are gone, if they differ from those last reported.
     pub fn on_timeout(&mut self, now: Timestamp) -> Option<BTreeSet<u32>> {
         let gone = self.absent_since.iter().filter(|(_, since)| **since + self.grace <= now);
         let gone: BTreeSet<u32> = gone.map(|(index, _)| *index).collect();
--- a/src/fleet/node/held_leases.rs
+++ b/src/fleet/node/held_leases.rs
@@ -1,4 +1,4 @@
-//! The leases last reported as held, and how long each has been held.
+//! The leases last reported as held, and when each was acquired.
 
 use crate::fleet::lease::{LeaseGrant, LeaseId};
 use crate::interface::Timestamp;
@@ -27,12 +27,12 @@
 }
 
 impl HeldLeases {
-    /// The leases and when each was acquired.
+    /// The held leases, each with the time when it was acquired.
     pub fn acquisition_times(&self) -> impl Iterator<Item = (LeaseId, Timestamp)> + '_ {
         self.leases.iter().map(|(lease, held)| (*lease, held.since))
     }
 
-    /// Replaces the leases by those held now, and returns the differences in order of the leases.
+    /// Replaces the leases by those held now, and returns the differences in order of lease ids.
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
     pub fn update(&mut self, now: Timestamp, current: BTreeMap<LeaseId, LeaseGrant>) -> Vec<LeaseChange> {
         let leases: BTreeSet<LeaseId> = current.keys().chain(self.leases.keys()).copied().collect();
--- a/src/fleet/node/interface.rs
+++ b/src/fleet/node/interface.rs
@@ -18,7 +18,7 @@
     pub generation: u64,
     /// The address on which this process receives datagrams.
     pub address: SocketAddr,
-    /// Hash of the fleet's name and of all that its processes must agree on; see [`crate::fleet::message::fleet`].
+    /// Hash of the fleet's name and of the settings on which its processes must agree; see [`crate::fleet::message::fleet`].
     pub fleet_hash: u64,
     /// Addresses of the lease acceptors, by index (the operators' `electors`).
     pub acceptors: BTreeMap<u32, SocketAddr>,
@@ -32,11 +32,11 @@
     pub size: u32,
     /// Number of parts into which each partitioned task is divided.
     pub parts: u16,
-    /// Latency objective of the fleet's load shedding; `None` where the fleet does not shed load together.
+    /// Latency objective of the fleet's load shedding; `None` if the fleet does not shed load together.
     pub shed_latency_objective: Option<Duration>,
     /// Whether this process is a candidate for the publish lease of its domain; see [`crate::fleet::distribution`].
     pub publishes: bool,
-    /// Lower bound for new fences, should a majority of the acceptors lose its state at once.
+    /// Lower bound of new fences, for the case that a majority of the acceptors has lost its state at once.
     pub fence_floor: u64,
     /// Seed of all random choices.
     pub seed: u64,
@@ -51,7 +51,7 @@
     Timer,
     /// This process has made an observation that is to be gossiped.
     Observed(GossipTopic, GossipUpdate),
-    /// Recent demand at this process, where the fleet sheds load together.
+    /// Recent demand at this process; ignored unless the fleet sheds load together.
     Demand(Demand),
     /// Graceful shutdown: leases are released, and the other members are notified.
     Leave,
@@ -68,7 +68,7 @@
     LeaseChanged(Task, u16, Option<LeaseGrant>),
     /// An observation of another process, and the latest time at which it was made.
     Received(GossipTopic, GossipUpdate, Timestamp),
-    /// The admission level of the fleet, and the time of which it is.
+    /// The admission level of the fleet, and when it was computed.
     AdmissionLevel(AdmissionLevel, Timestamp),
     /// The process with this index has joined (`true`) or left (`false`).
     Member(u32, bool),
--- a/src/fleet/node/lease_ids.rs
+++ b/src/fleet/node/lease_ids.rs
@@ -18,7 +18,7 @@
     LeaseId(task as u16 * Shares::MAX_PARTS + part)
 }
 
-/// The task's part that a lease stands for; `None` for a number that no task has.
+/// The part of a task that a lease stands for; `None` if the number belongs to no task.
 pub(super) fn task_part_of(lease: LeaseId) -> Option<TaskPart> {
     let task = *Task::ALL.get(usize::from(lease.0 / Shares::MAX_PARTS))?;
     Some(TaskPart { task, part: lease.0 % Shares::MAX_PARTS })
--- a/src/fleet/node/lease_preference.rs
+++ b/src/fleet/node/lease_preference.rs
@@ -1,7 +1,8 @@
-//! Which leases a process wants, and to which members it gives them back.
+//! Decides for which leases a process is a candidate, and to which members it returns them.
 //!
-//! Every member orders the members for each lease by the same hash (rendezvous hashing). The first [`CANDIDATES`] of
-//! that order want the lease; a holder that is not the first returns the lease once the first has been up for a while.
+//! Every member orders the members for each lease by the same hash (rendezvous hashing). The first [`CANDIDATES_PER_LEASE`] of
+//! that order are candidates for the lease. A holder that is not the first returns the lease once the first has been up
+//! for long enough.
 
 use super::FleetNode;
 use super::lease_ids::{PUBLISH_LEASE, lease_of};
@@ -10,18 +11,18 @@
 use crate::interface::{Duration, Task, Timestamp};
 use std::collections::BTreeMap;
 
-/// Members that want one lease at a time: enough for some to be alive whatever happens, and few enough that the
-/// acceptors do not receive requests of a whole fleet whenever a lease expires.
-const CANDIDATES: usize = 3;
+/// Number of candidates for one lease at a time: enough that some are alive whatever fails, and few enough that the
+/// acceptors do not receive requests of the whole fleet whenever a lease expires.
+const CANDIDATES_PER_LEASE: usize = 3;
 /// Terms for which the preferred member must have been up, and the holder must have held the lease, before the lease
 /// is returned; doubled for each recent loss of that member.
 const SETTLING_TERMS: u64 = 3;
-/// Losses of a member that count at most for that doubling.
+/// Largest number of losses of a member that count for that doubling.
 const MAX_COUNTED_LOSSES: u32 = 3;
 /// Terms after which the losses of a member no longer count.
 const LOSS_MEMORY_TERMS: u64 = 64;
 
-/// Since when a member has been up, and how often it was lost before.
+/// When a member came up, and how often it was lost before.
 #[derive(Clone, Copy, Debug, Default)]
 struct MemberHistory {
     up_since: Timestamp,
@@ -42,7 +43,7 @@
 #[derive(Debug)]
 pub(super) struct LeasePreference {
     histories: BTreeMap<u32, MemberHistory>,
-    /// When leases are ranked for the first time: other members must be known by then.
+    /// When leases are ranked for the first time; by then the other members are known.
     first_ranking_at: Timestamp,
     ranked: bool,
 }
@@ -52,7 +53,7 @@
         LeasePreference { histories: BTreeMap::new(), first_ranking_at, ranked: false }
     }
 
-    /// When leases are to be ranked for the first time, until they are.
+    /// When leases are to be ranked for the first time; `None` once they were.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         (!self.ranked).then_some(self.first_ranking_at)
     }
@@ -74,23 +75,23 @@
     /// All leases of the fleet, in the order in which they are ranked and shown.
     pub(super) fn leases(&self) -> Vec<LeaseId> {
         let parts = 0..self.config.parts;
-        let parted =
+        let partitioned =
             Task::PARTITIONED.iter().flat_map(|task| parts.clone().map(|part| lease_of(*task, part)));
         let shed = self.config.shed_latency_objective.map(|_| lease_of(Task::Shed, 0));
         let publish = self.config.publishes.then_some(PUBLISH_LEASE);
-        parted.chain(shed).chain(publish).collect()
+        partitioned.chain(shed).chain(publish).collect()
     }
 
     /// The members in order of preference for a lease. All processes with the same members agree on it.
     fn members_by_preference(&self, lease: LeaseId) -> Vec<u32> {
-        let all = self.membership.members().keys().copied().chain([self.config.process.index]);
-        let hashed = all.map(|index| (mix(u64::from(lease.0), u64::from(index)), index));
+        let members = self.membership.members().keys().copied().chain([self.config.process.index]);
+        let hashed = members.map(|index| (mix(u64::from(lease.0), u64::from(index)), index));
         let mut order: Vec<(u64, u32)> = hashed.collect();
         order.sort_unstable();
         order.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// Ranks all leases when it is time for the first time, and whenever the members have changed after that.
+    /// Ranks all leases when the time of the first ranking is reached, and after that whenever the members have changed.
     pub(super) fn rank_leases_if_due(&mut self, now: Timestamp, members_changed: bool) {
         let first_time = !self.preference.ranked && now >= self.preference.first_ranking_at;
         let again = self.preference.ranked && members_changed && !self.left;
@@ -103,14 +104,14 @@
     fn rank_leases(&mut self, now: Timestamp) {
         for lease in self.leases() {
             let order = self.members_by_preference(lease);
-            let place = order.iter().position(|index| *index == self.config.process.index);
+            let position = order.iter().position(|index| *index == self.config.process.index);
             let rank = if lease == PUBLISH_LEASE {
-                // Few processes publish, and which is not known to the others: each of them is a candidate.
-                place.map(|place| place.min(CANDIDATES - 1))
+                // Few processes publish, and the others do not know which: each of them is a candidate.
+                position.map(|position| position.min(CANDIDATES_PER_LEASE - 1))
             } else {
-                place.filter(|place| *place < CANDIDATES)
+                position.filter(|position| *position < CANDIDATES_PER_LEASE)
             };
-            self.lease_node.want(now, lease, rank.map(|rank| rank as u32), &self.config.lease);
+            self.lease_node.set_rank(now, lease, rank.map(|rank| rank as u32), &self.config.lease);
         }
     }
 
@@ -141,11 +142,11 @@
         self.held.acquisition_times().any(|(lease, _)| self.lease_node.holds(now, lease).is_none())
     }
 
-    /// Releases all leases and wants none, and notifies the members that are to have them next.
+    /// Releases all leases, is a candidate for none from then on, and notifies the members that are to hold them next.
     pub(super) fn release_all_leases(&mut self, now: Timestamp, out: &mut LeaseOutput) {
         for lease in self.leases() {
             if self.lease_node.holds(now, lease).is_none() {
-                self.lease_node.want(now, lease, None, &self.config.lease);
+                self.lease_node.set_rank(now, lease, None, &self.config.lease);
                 continue;
             }
             self.lease_node.release(now, lease, &self.config.lease, out);
@@ -155,8 +156,8 @@
         }
     }
 
-    /// The processes that are notified when a lease is released: the next in order of preference; all acceptors for the
-    /// publish lease, since which processes publish is not known.
+    /// The processes to notify when a lease is released: the next member in order of preference, or all acceptors for the
+    /// publish lease, since it is not known which processes publish.
     fn successors(&self, lease: LeaseId) -> Vec<u32> {
         let own = self.config.process.index;
         if lease == PUBLISH_LEASE {
@@ -167,7 +168,7 @@
     }
 }
 
-/// Notifies a candidate that a lease was released.
+/// A message that notifies a candidate that a lease was released.
 fn free_notice(index: u32, lease: LeaseId) -> LeaseEnvelope {
     LeaseEnvelope { to: Destination::Acceptor(index), lease, message: LeaseMessage::Free }
 }
--- a/src/fleet/node/mod.rs
+++ b/src/fleet/node/mod.rs
@@ -1,4 +1,4 @@
-//! One process of a fleet, without sockets and without a clock: membership, leases, gossip and load shedding combined.
+//! One process of a fleet, without sockets and without a clock: combines membership, leases, gossip and load shedding.
 
 mod absence;
 mod held_leases;
@@ -32,10 +32,10 @@
 /// Largest number of members to which the controller itself sends each admission level, four times a second; in larger
 /// fleets gossip spreads it.
 const MAX_DIRECT_LEVEL_RECEIVERS: usize = 64;
-/// Membership periods after the start before leases are ranked, so that other members are known by then.
+/// Membership periods from the start until leases are ranked: by then the other members are known.
 const PERIODS_BEFORE_RANKING: u64 = 2;
 
-/// One process of a fleet. Inputs and the time go in, outputs come out.
+/// One process of a fleet: a state machine driven by inputs and the time.
 pub struct FleetNode {
     config: FleetConfig,
     lease_node: LeaseNode,
@@ -50,7 +50,7 @@
     preference: LeasePreference,
     absence: Absence,
     next_gossip: Timestamp,
-    /// Whether it has left the fleet. Nothing is handled or sent from then on.
+    /// Whether this process has left the fleet. From then on it handles and sends nothing.
     left: bool,
     sent: SentTotals,
 }
@@ -62,12 +62,12 @@
         let reachable =
             |(index, at): (&u32, &SocketAddr)| (*index, *config.address_overrides.get(index).unwrap_or(at));
         let contacts = config.acceptors.iter().map(reachable).collect();
-        let swim = MembershipConfig { delay: config.delay, size: config.size, contacts };
-        let first_ranking_at = now + Duration(swim.period().0 * PERIODS_BEFORE_RANKING);
+        let membership_config = MembershipConfig { delay: config.delay, size: config.size, contacts };
+        let first_ranking_at = now + Duration(membership_config.period().0 * PERIODS_BEFORE_RANKING);
         let identity = Identity { process, generation: config.generation, turn: 0, at: config.address };
         FleetNode {
             lease_node: LeaseNode::new(process, now, config.fence_floor, &config.lease),
-            membership: Membership::new(now, identity, mix(config.seed, 1), swim),
+            membership: Membership::new(now, identity, mix(config.seed, 1), membership_config),
             gossip: GossipStore::default(),
             controller: OverloadController::default(),
             admission: AdmissionGate::default(),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// When [`FleetInput::Timer`] is to be given.
+    /// When [`FleetInput::Timer`] is to be passed to [`FleetNode::handle`].
     pub fn next_timeout(&self) -> Option<Timestamp> {
         if self.left {
             return None;
@@ -98,7 +98,7 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// Handles an input; returns what is to be done, in order.
+    /// Handles an input and returns the resulting outputs, in order.
     pub fn handle(&mut self, now: Timestamp, input: FleetInput) -> Vec<FleetOutput> {
         let mut out = vec![];
         if self.left {
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Messages about leases. Answers count only from the address that the operator has configured for an acceptor.
+    /// Handles lease messages. An acceptor's answers count only if they come from the address that the operator has
+    /// configured for it.
     fn receive_lease_messages(
         &mut self,
         now: Timestamp,
@@ -202,7 +203,7 @@
         if !self.membership.receive(now, &datagram.swim, &mut outgoing.membership) {
             out.push(FleetOutput::Dropped(sender.address, DatagramError::Malformed));
         }
-        if let Some(answer) = self.membership.in_place_of(sender.process) {
+        if let Some(answer) = self.membership.current_member_for(sender.process) {
             outgoing.membership.identity_queries.push((sender.process.index, answer));
         }
     }
@@ -214,7 +215,7 @@
         entry: GossipEntry,
         out: &mut Vec<FleetOutput>,
     ) {
-        if !entry.fits() {
+        if !entry.matches_topic() {
             out.push(FleetOutput::Dropped(from, DatagramError::Malformed));
             return;
         }
@@ -263,15 +264,15 @@
         out: &mut Vec<FleetOutput>,
     ) {
         let controller = Controller { fence, index: self.config.process.index };
-        let before = self.admission.level(now);
-        let level = self.controller.tick(now, controller, latency_objective, before);
+        let previous = self.admission.level(now);
+        let level = self.controller.tick(now, controller, latency_objective, previous);
         self.admission.receive(level, now);
         self.gossip.observe(now, GossipTopic::Fleet, GossipUpdate::AdmissionLevel(level));
         out.push(FleetOutput::AdmissionLevel(level, now));
-        let all: Vec<u32> = self.members().collect();
-        if all.len() <= MAX_DIRECT_LEVEL_RECEIVERS {
+        let members: Vec<u32> = self.members().collect();
+        if members.len() <= MAX_DIRECT_LEVEL_RECEIVERS {
             let update = GossipUpdate::AdmissionLevel(level);
-            self.send_directly(all, GossipEntry { topic: GossipTopic::Fleet, update, age_ms: 0 }, out);
+            self.send_directly(members, GossipEntry { topic: GossipTopic::Fleet, update, age_ms: 0 }, out);
         }
     }
 
@@ -308,13 +309,13 @@
     fn report_lease_changes(&mut self, now: Timestamp, out: &mut Vec<FleetOutput>) {
         let current: BTreeMap<LeaseId, LeaseGrant> = self.lease_node.held(now).collect();
         for change in self.held.update(now, current) {
-            if let Some(of) = task_part_of(change.lease) {
-                out.push(FleetOutput::LeaseChanged(of.task, of.part, change.grant));
+            if let Some(task_part) = task_part_of(change.lease) {
+                out.push(FleetOutput::LeaseChanged(task_part.task, task_part.part, change.grant));
             }
         }
     }
 
-    /// The lease of a task's part, while this process holds it.
+    /// The grant of the lease on a task's part, while this process holds it.
     pub fn holds(&self, now: Timestamp, task: Task, part: u16) -> Option<LeaseGrant> {
         self.lease_node.holds(now, lease_of(task, part)).filter(|_| !self.left)
     }
--- a/src/fleet/node/outgoing.rs
+++ b/src/fleet/node/outgoing.rs
@@ -1,4 +1,4 @@
-//! What a process sends: messages of leases and membership bundled into datagrams, and gossip.
+//! What a process sends: lease and membership messages, bundled into datagrams, and gossip.
 
 use super::{FleetNode, FleetOutput};
 use crate::fleet::Process;
@@ -13,7 +13,7 @@
 
 /// Interval between rounds of gossip.
 pub(super) const GOSSIP_INTERVAL: Duration = Duration::millis(250);
-/// Members to which one round of gossip is sent.
+/// Number of members to which one round of gossip is sent.
 const GOSSIP_FANOUT: u32 = 2;
 
 /// Traffic sent since the start.
@@ -32,7 +32,7 @@
     pub address: SocketAddr,
 }
 
-/// Messages that one input has given rise to, not yet bundled into datagrams.
+/// Messages that result from one input, not yet bundled into datagrams.
 #[derive(Debug, Default)]
 pub(super) struct Outgoing {
     pub leases: LeaseOutput,
@@ -41,7 +41,7 @@
 }
 
 impl FleetNode {
-    /// The address of a process. What the operator has configured takes precedence over what members announce.
+    /// The address of a process. An address that the operator has configured takes precedence over the announced one.
     pub(super) fn address(&self, index: u32) -> Option<SocketAddr> {
         let announced = || self.membership.members().get(&index).map(|identity| identity.at);
         self.configured_address(index).or_else(announced)
@@ -52,7 +52,7 @@
         overridden.or_else(|| self.config.acceptors.get(&index)).copied()
     }
 
-    /// Sends all messages, those about leases in as few datagrams as they fit into.
+    /// Sends all messages; lease messages to one address share datagrams.
     pub(super) fn send_all(&mut self, outgoing: Outgoing, out: &mut Vec<FleetOutput>) {
         self.send_lease_messages(outgoing.leases, outgoing.sender, out);
         self.send_identity_queries(outgoing.membership.identity_queries, outgoing.sender, out);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sends one gossip entry to these processes in a single step, without the delay of gossip rounds: a control loop over
+    /// Sends one gossip entry directly to these processes, without the delay of gossip rounds: a control loop that takes
     /// several rounds would overshoot.
     pub(super) fn send_directly(&mut self, to: Vec<u32>, entry: GossipEntry, out: &mut Vec<FleetOutput>) {
         let addresses: Vec<SocketAddr> = to.into_iter().filter_map(|index| self.address(index)).collect();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// One round of gossip, when it is due.
+    /// Sends one round of gossip, if it is due.
     pub(super) fn gossip_if_due(&mut self, now: Timestamp, out: &mut Vec<FleetOutput>) {
         if self.next_gossip > now || self.left {
             return;
--- a/src/fleet/node/status.rs
+++ b/src/fleet/node/status.rs
@@ -1,4 +1,4 @@
-//! The state of a [`FleetNode`] as operators see it: a text, and figures.
+//! The state of a [`FleetNode`] as operators see it: as text and as figures.
 
 use super::FleetNode;
 use super::lease_ids::task_part_of;
@@ -17,11 +17,11 @@
     pub process: Process,
     /// Indices of the other members.
     pub members: Vec<u32>,
-    /// Whether its acceptor grants leases now; `None` where it is no acceptor.
+    /// Whether its acceptor votes; `None` if it is no acceptor.
     pub votes: Option<bool>,
-    /// All parts of all tasks.
+    /// The leases of all parts of all tasks.
     pub leases: Vec<LeaseStatus>,
-    /// The admission level in force, where any load is shed.
+    /// The admission level in force; `None` if no load is shed.
     pub level: Option<AdmissionLevel>,
     /// Traffic sent since the start.
     pub sent: SentTotals,
@@ -54,7 +54,7 @@
 }
 
 impl FleetStatus {
-    /// The status as figures, a line each.
+    /// The status as figures, one per line.
     pub fn figures(&self) -> String {
         let held = self.leases.iter().filter_map(|lease| lease.grant);
         let (count, fence) = held.fold((0, 0), |(count, fence), grant| (count + 1, grant.fence.max(fence)));
@@ -72,7 +72,7 @@
         lines.iter().map(|(name, value)| format!("scheduler.fleet.{name}={value}\n")).collect()
     }
 
-    /// Leases that nobody holds, so that their tasks fall back or stop. Only an acceptor can tell: 0 elsewhere.
+    /// Number of leases without a holder, whose tasks fall back or stop. Only an acceptor knows: 0 for other processes.
     fn unheld_leases(&self) -> u64 {
         if self.votes.is_none() {
             return 0;
@@ -83,7 +83,7 @@
 }
 
 impl fmt::Display for FleetStatus {
-    /// A line for the process, one for the others, and one for each part of a task.
+    /// One line for this process, one for the other members, and one for each part of a task.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let votes = match self.votes {
             _ if self.left => "left the fleet",
@@ -129,10 +129,15 @@
     }
 
     fn lease_status(&self, now: Timestamp, lease: LeaseId) -> Option<LeaseStatus> {
-        let of = task_part_of(lease)?;
+        let task_part = task_part_of(lease)?;
         let granted = self.lease_node.acceptor().and_then(|acceptor| acceptor.granted(now, lease));
         let granted =
             granted.map(|grant| StandingGrant { to: grant.ballot.process, remaining: grant.until - now });
-        Some(LeaseStatus { task: of.task, part: of.part, grant: self.lease_node.holds(now, lease), granted })
+        Some(LeaseStatus {
+            task: task_part.task,
+            part: task_part.part,
+            grant: self.lease_node.holds(now, lease),
+            granted,
+        })
     }
 }
--- a/src/fleet/overload/controller.rs
+++ b/src/fleet/overload/controller.rs
@@ -1,8 +1,8 @@
-//! Computes the fleet's admission level from the queueing time of requests, which rises before any of them is late.
+//! Computes the fleet's admission level from the queueing time of requests, which rises before any request is late.
 //!
-//! Open requests over requests served in a second are the seconds that the next request will wait (Little's law). Below
-//! the target wait the limit rises by a part of the load with each tick. Above it the limit is the capacity, less what
-//! drains the excess within [`EXCESS_DRAIN_SECS`].
+//! The number of open requests divided by the requests served per second is the time that the next request will wait, in
+//! seconds (Little's law). Below the target wait the limit rises by a fraction of the load with each tick. Above it the
+//! limit is the capacity minus the rate that drains the excess within [`EXCESS_DRAIN_SECS`].
 
 use super::{AdmissionLevel, Demand, RANK_COUNT, REPORT_LIFETIME};
 use crate::interface::{Duration, Timestamp};
@@ -14,7 +14,7 @@
 const EXCESS_DRAIN_SECS: f64 = 1.0;
 /// Rise of the limit per tick while the wait is below the target, as a fraction of the load.
 const LIMIT_RISE_FRACTION: f64 = 0.03;
-/// Fraction of the measured capacity that is kept per tick while less is served.
+/// Fraction of the measured capacity that remains after each tick in which less is served.
 const CAPACITY_DECAY: f64 = 0.96;
 /// Lowest limit, as a fraction of the load.
 const MIN_LIMIT_FRACTION: f64 = 0.1;
@@ -32,25 +32,25 @@
 pub struct Controller {
     /// The fence of its lease of [`crate::interface::Task::Shed`].
     pub fence: u64,
-    /// Its index.
+    /// Its process index.
     pub index: u32,
 }
 
-/// Demand as a peer has reported it.
+/// Demand reported by a peer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PeerReport {
     pub demand: Demand,
     pub at: Timestamp,
 }
 
-/// Demand of the whole fleet, weighted by peer.
+/// Demand of the whole fleet, with each peer's weight applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct FleetDemand {
-    /// Requests a second, by rank.
+    /// Requests per second, by rank.
     pub offered: [f64; RANK_COUNT],
-    /// Requests served in a second.
+    /// Requests served per second.
     pub served: f64,
-    /// Requests that are open now.
+    /// Number of open requests.
     pub open: f64,
 }
 
@@ -58,16 +58,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct OverloadController {
     pub(super) reports: BTreeMap<u32, PeerReport>,
-    /// Requests a second that the fleet admits; `None` where it admits all.
+    /// Requests per second that the fleet admits; `None` if it admits all.
     limit: Option<f64>,
     /// The fence under which the last level was computed.
     fence: Option<u64>,
-    /// Requests a second that the workers can serve: the largest recent rate, decaying.
+    /// Requests per second that the workers can serve: the largest recent rate, which decays.
     capacity: f64,
 }
 
 impl OverloadController {
-    /// Records the demand of a process, also of this one, as of `at`. Older reports than the known one are ignored.
+    /// Records the demand that a process, possibly this one, measured at `at`. A report older than the known one is ignored.
     pub fn receive(&mut self, now: Timestamp, index: u32, demand: Demand, at: Timestamp) {
         self.reports.retain(|_, report| now - report.at < REPORT_LIFETIME);
         if self.reports.len() < MAX_PEERS || self.reports.contains_key(&index) {
@@ -85,7 +85,7 @@
             recent.map(|report| (peer_size(&report.demand), &report.demand)).collect();
         let mut sizes: Vec<f64> = sized.iter().map(|(size, _)| *size).collect();
         sizes.sort_by(f64::total_cmp);
-        // Of two peers the smaller one is the median: a peer that lies must not be its own measure.
+        // Of two peers the smaller one is the median: a peer that reports false counts must not set its own limit.
         let median = sizes.get(sizes.len().saturating_sub(1) / 2).copied().unwrap_or_default();
         let mut total = FleetDemand { offered: [0.0; RANK_COUNT], served: 0.0, open: 0.0 };
         for (size, demand) in sized {
@@ -99,22 +99,22 @@
         total
     }
 
-    /// Computes the admission level for now. A controller with a new fence continues from the level before it.
+    /// Computes the current admission level. A controller with a new fence continues from the previous level.
     pub fn tick(
         &mut self,
         now: Timestamp,
         controller: Controller,
         latency_objective: Duration,
-        before: Option<AdmissionLevel>,
+        previous: Option<AdmissionLevel>,
     ) -> AdmissionLevel {
         let FleetDemand { offered, served, open } = self.sum(now);
         let load: f64 = offered.iter().sum();
         if self.fence != Some(controller.fence) {
             self.fence = Some(controller.fence);
-            let limited = before.filter(|level| level.admit != AdmissionLevel::ADMIT_ALL);
+            let limited = previous.filter(|level| level.admit != AdmissionLevel::ADMIT_ALL);
             self.limit = limited.map(|level| admitted_rate(&offered, level));
         }
-        // Under overload fewer requests are completed than could be: the capacity measured before counts for a while.
+        // Under overload the workers complete fewer requests than they could, so an earlier, higher capacity counts for a while.
         self.capacity = served.max(self.capacity * CAPACITY_DECAY);
         let excess = open - self.capacity * latency_objective.secs() * TARGET_WAIT_FRACTION;
         if excess > 0.0 && open >= MIN_OPEN_REQUESTS {
@@ -129,28 +129,28 @@
 
     /// Distributes the limit over the ranks, the highest priority first.
     fn admit(&self, offered: &[f64; RANK_COUNT]) -> [u8; RANK_COUNT] {
-        let Some(mut left) = self.limit else { return AdmissionLevel::ADMIT_ALL };
+        let Some(mut remaining) = self.limit else { return AdmissionLevel::ADMIT_ALL };
         let mut admit = AdmissionLevel::ADMIT_ALL;
-        for (part, load) in admit.iter_mut().zip(offered) {
-            let admitted = left.min(*load);
-            left -= admitted;
+        for (fraction, load) in admit.iter_mut().zip(offered) {
+            let admitted = remaining.min(*load);
+            remaining -= admitted;
             if *load > 0.0 {
-                *part = (admitted / load * 255.0).ceil() as u8;
-            } else if left <= 0.0 {
-                *part = 0;
+                *fraction = (admitted / load * 255.0).ceil() as u8;
+            } else if remaining <= 0.0 {
+                *fraction = 0;
             }
         }
         admit
     }
 }
 
-/// The largest of a peer's counts, at least 1: the measure of its weight.
+/// The size of a peer, by which it is weighted: the largest of its counts, at least 1.
 fn peer_size(demand: &Demand) -> f64 {
     let counts = demand.offered.iter().copied().chain([demand.served, demand.open]);
     counts.map(f64::from).fold(1.0, f64::max)
 }
 
-/// Requests a second that a level admits of what is offered.
+/// Requests per second that a level admits out of the offered ones.
 fn admitted_rate(offered: &[f64; RANK_COUNT], level: AdmissionLevel) -> f64 {
-    offered.iter().zip(level.admit).map(|(rate, part)| rate * f64::from(part) / 255.0).sum()
+    offered.iter().zip(level.admit).map(|(rate, fraction)| rate * f64::from(fraction) / 255.0).sum()
 }
--- a/src/fleet/overload/gate.rs
+++ b/src/fleet/overload/gate.rs
@@ -3,10 +3,10 @@
 use super::{AdmissionLevel, REPORT_LIFETIME};
 use crate::interface::{Duration, Timestamp};
 
-/// Credit that admits one request: an admission level is given in parts of it.
+/// Credit that admits one request: an admission level is given in fractions of it.
 const ADMISSION_CREDIT: u32 = 255;
 
-/// An admission level and the time of which it is.
+/// An admission level and when it was computed.
 #[derive(Clone, Copy, Debug)]
 struct TimedLevel {
     level: AdmissionLevel,
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionGate {
     latest: Option<TimedLevel>,
-    /// Credit by rank: each request adds the part of its rank that is admitted.
+    /// Credit by rank: each request adds the fraction of its rank that is admitted.
     credit: [u32; super::RANK_COUNT],
     rejected: u32,
 }
 
 impl AdmissionGate {
-    /// Adopts a level as of `at`; returns whether it supersedes the known one. A level of an earlier controller never
+    /// Adopts a level computed at `at`; returns whether it supersedes the known one. A level of an earlier controller never
     /// supersedes one of a later controller, nor an older level a newer one of the same controller.
     pub fn receive(&mut self, level: AdmissionLevel, at: Timestamp) -> bool {
         let supersedes = self.latest.is_none_or(|known| (level.fence, at) > (known.level.fence, known.at));
@@ -33,12 +33,12 @@
         supersedes
     }
 
-    /// The level in force; `None` where there is none, or it has expired.
+    /// The level in force; `None` if there is none or it has expired.
     pub fn level(&self, now: Timestamp) -> Option<AdmissionLevel> {
         self.latest.filter(|known| now - known.at < REPORT_LIFETIME).map(|known| known.level)
     }
 
-    /// Whether a request of this rank is admitted: the rank's part of all requests is, spread evenly.
+    /// Whether a request of this rank is admitted. The rank's fraction of all requests is admitted, spread evenly.
     pub fn admits(&mut self, now: Timestamp, rank: usize) -> bool {
         let Some(level) = self.level(now) else { return true };
         let credit = &mut self.credit[rank];
@@ -55,7 +55,7 @@
     pub fn cooldown(&mut self, longest: Duration) -> Duration {
         self.rejected = self.rejected.wrapping_add(1);
         // Multiples of the golden ratio are spread evenly over [0, 1) for any number of clients.
-        let part = (f64::from(self.rejected) * 0.618_033_988_749_895).fract();
-        longest.times(0.5 + part / 2.0)
+        let fraction = (f64::from(self.rejected) * 0.618_033_988_749_895).fract();
+        longest.times(0.5 + fraction / 2.0)
     }
 }
--- a/src/fleet/overload/mod.rs
+++ b/src/fleet/overload/mod.rs
@@ -1,15 +1,16 @@
-//! Load shedding that a fleet agrees on: the admission level, the fraction of each priority rank that all processes admit.
+//! Load shedding coordinated across a fleet, by the admission level: the fraction of each priority rank that all
+//! processes admit.
 //!
 //! Every process measures its demand ([`DemandMeter`]) and gossips it. The holder of a lease, the controller, computes the
 //! admission level ([`OverloadController`]) and publishes it with its fence; every process applies the latest level to its
-//! own requests ([`AdmissionGate`]). No I/O and no clock. The invariants, and where each is kept:
+//! own requests ([`AdmissionGate`]). Nothing here does I/O or reads a clock. The invariants, and where each is maintained:
 //!
-//! - requests are admitted by priority weight: a class is shed only where all classes of lower weight are shed entirely
+//! - requests are admitted by priority weight: a class is shed only if all classes of lower weight are shed entirely
 //!   ([`OverloadController`]);
-//! - some of the load is always admitted, so that a recovery of the workers is noticed ([`OverloadController`]);
-//! - no peer weighs more than three times the median one, whatever it reports ([`OverloadController`]);
+//! - some of the load is always admitted, so that a recovery of the workers is detected ([`OverloadController`]);
+//! - no peer has more than three times the weight of the median peer, whatever it reports ([`OverloadController`]);
 //! - a level under an earlier fence never supersedes one under a later fence ([`AdmissionGate`]);
-//! - an expired level sheds nothing: without a controller each process is on its own ([`AdmissionGate`]).
+//! - an expired level sheds nothing: without a controller each process admits requests by itself ([`AdmissionGate`]).
 
 mod controller;
 mod demand_meter;
@@ -22,15 +23,15 @@
 use crate::interface::Duration;
 use serde::{Deserialize, Serialize};
 
-/// Number of ranks of classes by priority weight, the first having the highest. Where a site has more distinct weights,
-/// the last rank contains all that are left.
+/// Number of ranks of classes by priority weight; the first rank has the highest weight. If a site has more distinct
+/// weights, the last rank contains all remaining ones.
 pub const RANK_COUNT: usize = 4;
 /// Interval at which demand is published and the admission level computed.
 pub const TICK_INTERVAL: Duration = Duration::millis(250);
-/// Time after which an admission level or a peer's report expires.
+/// How long an admission level or a peer's report is valid.
 pub const REPORT_LIFETIME: Duration = Duration::millis(3_000);
 
-/// Demand at one process: counts of the last second, and requests that are open.
+/// Demand at one process: counts of the last second, and the number of open requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Demand {
     /// Requests that arrived, by rank.
@@ -68,7 +69,7 @@
     order.sort_by(|a, b| b.total_cmp(a));
     order.dedup();
     let rank = |priority_weight: &f64| {
-        order.iter().position(|one| one.total_cmp(priority_weight).is_eq()).unwrap_or_default()
+        order.iter().position(|weight| weight.total_cmp(priority_weight).is_eq()).unwrap_or_default()
     };
     priority_weights.iter().map(|priority_weight| rank(priority_weight).min(RANK_COUNT - 1)).collect()
 }
--- a/src/fleet/wire_tests.rs
+++ b/src/fleet/wire_tests.rs
@@ -1,8 +1,8 @@
-//! What processes of a fleet work out each for itself, and must come to the same.
+//! Values that each process of a fleet computes by itself and on which all of them must agree.
 
 use super::*;
 
-/// Digests and the ranks of those that want a lease go by it.
+/// Digests and the ranks of lease candidates depend on this hash.
 #[test]
 fn the_hash_of_two_numbers_stays_the_same() {
     let cases = [
@@ -11,7 +11,7 @@
         ((515, 3), 0x154e_8b04_49f8_0636),
         ((u64::MAX, u64::MAX), 0x4771_ca14_95ff_3d5a),
     ];
-    for ((one, other), hash) in cases {
-        assert_eq!(mix(one, other), hash, "{:#x}", mix(one, other));
+    for ((first, second), hash) in cases {
+        assert_eq!(mix(first, second), hash, "{:#x}", mix(first, second));
     }
 }
