--- a/src/handover/connection.rs
+++ b/src/handover/connection.rs
@@ -7,24 +7,25 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Buffers of a peer's connection, in bytes: a message to read, and no bound on what waits to be written.
+/// Buffer limits of a connection to a peer, in bytes: one message to read, and no limit for pending output.
 pub const BUFFER_LIMITS: BufferLimits = BufferLimits { input: MAX_MESSAGE_LENGTH + 4, output: usize::MAX };
-/// What happened at connections to peers, for the daemon to take.
+
+/// Events of the connections to peers, for the daemon to handle.
 #[derive(Default)]
 pub struct InputQueue {
-    /// In the order in which they happened.
+    /// The events, oldest first.
     pub inputs: VecDeque<HandoverInput>,
 }
 
 /// A connection to a peer.
 pub struct PeerConnection {
     queue: Rc<RefCell<InputQueue>>,
-    /// Whether this process opens it, and it is not up yet.
+    /// Whether this process is opening the connection and it is not established yet.
     connecting: bool,
 }
 
 impl PeerConnection {
-    /// A connection that is being opened (`connecting`), or has come in.
+    /// A connection that is being opened (`connecting`) or was accepted.
     pub fn new(queue: Rc<RefCell<InputQueue>>, connecting: bool) -> PeerConnection {
         PeerConnection { queue, connecting }
     }
@@ -43,13 +44,13 @@
     }
 
     fn received(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
-        let mut read = 0;
+        let mut consumed = 0;
         let mut queue = self.queue.borrow_mut();
         loop {
-            match message::read(&link.input[read..]) {
+            match message::read(&link.input[consumed..]) {
                 Ok(None) => break,
                 Ok(Some((message, size))) => {
-                    read += size;
+                    consumed += size;
                     queue.inputs.push_back(HandoverInput::Received(link.id(), message));
                 }
                 Err(_) => {
@@ -58,7 +59,7 @@
                 }
             }
         }
-        link.consume(read);
+        link.consume(consumed);
         if link.peer_closed { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,15 +1,16 @@
-//! The messages between an old and a new process: a length, and a message of JSON that has its version.
+//! The messages between an old and a new process: each is a length followed by JSON. `Hello` and `State` carry the
+//! version.
 
 pub use crate::core::transferred_state::{TransferredState, TransferredWorker};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of the messages: another one may mean other things by the same keys.
+/// Version of the messages: the same keys may have another meaning in another version.
 pub const VERSION: u32 = 1;
-/// Longest message, in bytes: some 50,000 workers.
+/// Longest message in bytes: enough for the state of about 50,000 workers.
 pub const MAX_MESSAGE_LENGTH: usize = 8 << 20;
 
-/// A message.
+/// A message between two processes of one scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
@@ -17,27 +18,28 @@
     Hello {
         /// The version of its messages.
         version: u32,
-        /// The scheduler's name: both are one scheduler.
+        /// The scheduler's name, which must be the same in both.
         name: String,
     },
     /// The old process's answer.
     State(Box<TransferredState>),
-    /// The new process takes clients from now on.
+    /// The new process accepts clients from now on.
     Serving,
     /// An operator has cordoned or uncordoned a worker.
     #[serde(rename = "by-hand")]
     CordonChanged {
-        /// Which.
+        /// The worker's id.
         worker: u64,
-        /// Cordoned, or uncordoned.
+        /// Whether it is cordoned now.
         #[serde(rename = "out")]
         cordoned: bool,
-        /// When, in the time of the process that was called; others go by when they receive it, for their clocks may differ.
+        /// When, by the clock of the process that the operator called. Receivers use the time of receipt instead, because
+        /// their clocks may differ.
         at: u64,
     },
 }
 
-/// Writes a message.
+/// Encodes a message.
 pub fn write(message: &Message) -> Vec<u8> {
     let text = serde_json::to_vec(message).unwrap_or_default();
     [&(text.len() as u32).to_be_bytes()[..], &text].concat()
@@ -46,9 +48,9 @@
 /// Why a message cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// Its length is out of bounds.
+    /// Its length is out of range.
     Length,
-    /// It is no message of this version.
+    /// It is not a message of this version.
     Malformed,
 }
 
@@ -63,10 +65,10 @@
 
 impl std::error::Error for MessageError {}
 
-/// Reads the first message of a buffer with the bytes it took; `Ok(None)` where it is not complete yet.
+/// Decodes the first message of a buffer and returns it with its length in bytes; `Ok(None)` if it is incomplete.
 ///
 /// # Errors
-/// The length is out of range, or the text is no message of this version.
+/// The length is out of range, or the text is not a message of this version.
 pub fn read(bytes: &[u8]) -> Result<Option<(Message, usize)>, MessageError> {
     let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,7 +1,8 @@
-//! An upgrade under load: an old and a new process that are one scheduler to everybody else.
+//! Handover during an upgrade under load: an old and a new process appear as one scheduler to workers, clients and
+//! operators.
 //!
-//! [`HandoverState`] decides, without I/O, what each does and when; [`message`] has what they send each other;
-//! [`PeerConnection`] carries it.
+//! [`HandoverState`] is the state machine of each process, without I/O; [`message`] is the protocol between them;
+//! [`PeerConnection`] carries it over a socket.
 
 mod connection;
 pub mod message;
--- a/src/handover/state.rs
+++ b/src/handover/state.rs
@@ -1,78 +1,79 @@
-//! The states of a process in an upgrade, without I/O.
+//! The state machine of a process in an upgrade, without I/O.
 
 use super::message::{Message, TransferredState, VERSION};
 use crate::interface::{Duration, Timestamp};
 use std::fmt;
 
-/// A new process has the old one's state within this time, or it fails: the platform waits 6 s for it to serve.
+/// Time within which a new process must receive the old one's state; otherwise it fails. The platform waits 6 s for the
+/// new process to serve.
 pub const STATE_TIMEOUT: Duration = Duration::millis(4_000);
 /// Pause before a new process connects to the old one again.
 pub(super) const RETRY_PAUSE: Duration = Duration::millis(50);
 
-/// What happens. A peer is given by the number of its connection.
+/// An input of a [`HandoverState`]. A peer is identified by the id of its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverInput {
-    /// The process has started, with a listener that others may share.
+    /// This process has started, with a listener that other processes may share.
     Started,
-    /// No other process is there: no socket, or none that listens.
+    /// No other process runs: there is no socket, or no process listens on it.
     NoPeer,
-    /// A process listens, but no connection came up.
+    /// Another process listens, but no connection could be established.
     ConnectFailed,
-    /// A connection that this process opened is up.
+    /// A connection that this process opened is established.
     Connected(u64),
     /// A peer has sent a message.
     Received(u64, Message),
-    /// A peer has sent what cannot be read.
+    /// A peer has sent data that cannot be decoded.
     Malformed(u64),
     /// A connection has ended.
     Disconnected(u64),
     /// An operator has cordoned or uncordoned a worker here.
     CordonChanged {
-        /// Which worker.
+        /// The worker's id.
         worker: u64,
-        /// Cordoned, or uncordoned.
+        /// Whether it is cordoned now.
         cordoned: bool,
     },
-    /// SIGTERM.
+    /// This process has received SIGTERM.
     ShutdownRequested,
-    /// Time has passed.
+    /// The time of [`HandoverState::next_timeout`] has been reached.
     Timeout,
 }
 
-/// What is to be done, in this order.
+/// An action requested by a [`HandoverState`]. Actions are to be carried out in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverOutput {
     /// Connect to the old process.
     Connect,
-    /// Send this message.
+    /// Send a message to a peer.
     Send(u64, Message),
-    /// Send the state of this process.
+    /// Send the state of this process to a peer.
     SendState(u64),
     /// Take over the old process's state.
     TakeOver(Box<TransferredState>),
-    /// Begin to serve: the listener opens, and the next process can connect.
+    /// Start serving: open the listener, and let the next process connect.
     Serve,
-    /// Take clients from the listener, or none any more.
+    /// Start (`true`) or stop (`false`) accepting clients from the listener.
     SetListening(bool),
     /// An operator has cordoned or uncordoned a worker at a peer.
     CordonChanged {
-        /// Which worker.
+        /// The worker's id.
         worker: u64,
-        /// Cordoned, or uncordoned.
+        /// Whether it is cordoned now.
         cordoned: bool,
     },
-    /// This many processes share the limits.
+    /// The number of processes that now share the configured limits.
     SetProcessCount(usize),
-    /// End this connection.
+    /// Close the connection to a peer.
     Disconnect(u64, DisconnectReason),
-    /// Do not start.
+    /// Give up starting.
     Fail(HandoverError),
 }
 
 /// Why a new process cannot take over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverError {
-    /// The old process sends what cannot be read.
+    /// The old process has sent data that cannot be decoded.
     Unreadable,
     /// The old process has not sent its state in time.
     NoState,
@@ -83,19 +84,19 @@
 impl fmt::Display for HandoverError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            HandoverError::Unreadable => "the old process speaks another version",
-            HandoverError::NoState => "the old process does not say what it knows",
-            HandoverError::OtherScheduler => "the old process is of another version or name",
+            HandoverError::Unreadable => "the old process has sent a message that cannot be read",
+            HandoverError::NoState => "the old process has not sent its state in time",
+            HandoverError::OtherScheduler => "the old process has another version or name",
         })
     }
 }
 
 impl std::error::Error for HandoverError {}
 
-/// Why a connection to a peer is ended.
+/// Why a connection to a peer is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
-    /// It sends what cannot be read.
+    /// It has sent data that cannot be decoded.
     Unreadable,
     /// It is of another version, or belongs to another scheduler.
     OtherScheduler,
@@ -106,22 +107,22 @@
 }
 
 impl DisconnectReason {
-    /// Its text in log lines.
+    /// The reason as it is written to log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             DisconnectReason::Unreadable => "unreadable",
-            DisconnectReason::OtherScheduler => "of another version or name",
-            DisconnectReason::Occupied => "another is taking over",
-            DisconnectReason::Unexpected => "out of turn",
+            DisconnectReason::OtherScheduler => "another version or name",
+            DisconnectReason::Occupied => "another new process is taking over",
+            DisconnectReason::Unexpected => "unexpected message",
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Has not begun to connect to another process, or need not.
+    /// Has not started to connect to another process, or need not do so.
     NotStarted,
-    /// Waits for the old process's state.
+    /// Waits for the state of the old process.
     AwaitingState {
         deadline: Timestamp,
         retry_at: Option<Timestamp>,
@@ -139,13 +140,13 @@
     older: Option<u64>,
     /// The connection to the process after this one.
     newer: Option<u64>,
-    /// The newer process takes the clients.
+    /// Whether this process has left new clients to the newer one.
     yielded: bool,
     shutting_down: bool,
 }
 
 impl HandoverState {
-    /// A process that has just started, under the scheduler's name.
+    /// A process that has just started; `name` is the scheduler's name.
     pub fn new(name: &str) -> HandoverState {
         let name = name.to_owned();
         HandoverState {
@@ -158,27 +159,27 @@
         }
     }
 
-    /// Whether clients may be taken.
+    /// Whether this process may accept clients.
     pub fn serves(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether an older process is there, which takes clients too.
+    /// Whether an older process is connected, which may still accept clients.
     pub fn has_older_process(&self) -> bool {
         self.older.is_some()
     }
 
-    /// Whether a newer process knows what this one knew.
+    /// Whether this process has sent its state to a newer one that is still connected.
     pub fn state_was_sent(&self) -> bool {
         self.newer.is_some()
     }
 
-    /// Whether a newer process takes the clients.
+    /// Whether this process has left new clients to a newer one.
     pub fn yielded(&self) -> bool {
         self.yielded
     }
 
-    /// When [`HandoverInput::Timeout`] is due.
+    /// When [`HandoverInput::Timeout`] is to be passed to [`HandoverState::handle`].
     pub fn next_timeout(&self) -> Option<Timestamp> {
         match self.phase {
             Phase::AwaitingState { deadline, retry_at } => {
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Takes in what happened; returns what is to be done.
+    /// Handles an input and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, input: HandoverInput) -> Vec<HandoverOutput> {
         match input {
             HandoverInput::Started => {
@@ -253,14 +254,14 @@
         )
     }
 
-    fn serve(&mut self, mut first: Vec<HandoverOutput>) -> Vec<HandoverOutput> {
+    fn serve(&mut self, mut outputs: Vec<HandoverOutput>) -> Vec<HandoverOutput> {
         self.phase = Phase::Serving;
-        first.extend([self.process_count(), HandoverOutput::Serve]);
-        first.extend(self.older.map(|older| HandoverOutput::Send(older, Message::Serving)));
-        first
+        outputs.extend([self.process_count(), HandoverOutput::Serve]);
+        outputs.extend(self.older.map(|older| HandoverOutput::Send(older, Message::Serving)));
+        outputs
     }
 
-    /// Leaves the clients to the newer process, if there is one; the listener stays open throughout.
+    /// Stops accepting clients if there is a newer process, which accepts them. The listener itself stays open.
     fn stop_listening(&mut self) -> Vec<HandoverOutput> {
         if self.newer.is_none() || std::mem::replace(&mut self.yielded, true) {
             return vec![];
@@ -268,7 +269,7 @@
         vec![HandoverOutput::SetListening(false)]
     }
 
-    /// Sends a change of a cordon to all other processes but the one that it came from.
+    /// Forwards the change of a cordon to the adjacent processes except the one that it came from.
     fn relay(&self, from: Option<u64>, message: &Message) -> Vec<HandoverOutput> {
         let others = self.older.into_iter().chain(self.newer).filter(|peer| Some(*peer) != from);
         others.map(|peer| HandoverOutput::Send(peer, message.clone())).collect()
@@ -301,7 +302,7 @@
         if version != VERSION || name != self.name {
             return vec![HandoverOutput::Disconnect(peer, DisconnectReason::OtherScheduler)];
         }
-        // One at a time: it tries again, and connects to whichever process serves by then.
+        // Only one process takes over at a time. The rejected one retries, and connects to the process that serves by then.
         if self.newer.is_some() {
             return vec![HandoverOutput::Disconnect(peer, DisconnectReason::Occupied)];
         }
@@ -316,7 +317,7 @@
     fn disconnected(&mut self, now: Timestamp, peer: u64) -> Vec<HandoverOutput> {
         if self.older == Some(peer) {
             self.older = None;
-            // It was killed, or will be connected to again: a process that is gone listens no longer.
+            // Connect again: if the older process was killed, it no longer listens and the attempt shows that.
             if let Phase::AwaitingState { deadline, .. } = self.phase {
                 self.phase = Phase::AwaitingState { deadline, retry_at: Some(now + RETRY_PAUSE) };
                 return vec![];
@@ -325,8 +326,8 @@
         }
         if self.newer == Some(peer) {
             self.newer = None;
-            let open = std::mem::take(&mut self.yielded).then_some(HandoverOutput::SetListening(true));
-            return open.into_iter().chain([self.process_count()]).collect();
+            let reopen = std::mem::take(&mut self.yielded).then_some(HandoverOutput::SetListening(true));
+            return reopen.into_iter().chain([self.process_count()]).collect();
         }
         vec![]
     }
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Duration, Timestamp};
 use proptest::prelude::*;
 
-const NOW: Timestamp = Timestamp(1_000_000_000);
+const START_TIME: Timestamp = Timestamp(1_000_000_000);
 
 fn hello(version: u32, name: &str) -> Message {
     Message::Hello { version, name: name.to_owned() }
@@ -18,48 +18,53 @@
     }))
 }
 
-fn serving() -> HandoverState {
-    let mut machine = HandoverState::new("n0");
-    assert_eq!(machine.handle(NOW, HandoverInput::Started), [HandoverOutput::Connect]);
+fn serving_state() -> HandoverState {
+    let mut handover = HandoverState::new("n0");
+    assert_eq!(handover.handle(START_TIME, HandoverInput::Started), [HandoverOutput::Connect]);
     assert_eq!(
-        machine.handle(NOW, HandoverInput::NoPeer),
+        handover.handle(START_TIME, HandoverInput::NoPeer),
         [HandoverOutput::SetProcessCount(1), HandoverOutput::Serve]
     );
-    machine
+    handover
 }
 
-fn asking() -> HandoverState {
-    let mut machine = HandoverState::new("n0");
-    machine.handle(NOW, HandoverInput::Started);
+fn awaiting_state() -> HandoverState {
+    let mut handover = HandoverState::new("n0");
+    handover.handle(START_TIME, HandoverInput::Started);
     assert_eq!(
-        machine.handle(NOW, HandoverInput::Connected(1)),
+        handover.handle(START_TIME, HandoverInput::Connected(1)),
         [HandoverOutput::Send(1, hello(VERSION, "n0"))]
     );
-    assert!(!machine.serves());
-    machine
+    assert!(!handover.serves());
+    handover
 }
 
 #[test]
-fn the_new_one_serves_once_it_has_what_the_old_one_knows() {
-    let mut machine = asking();
-    let Message::State(known) = state(VERSION) else { return };
-    let all = machine.handle(NOW, HandoverInput::Received(1, Message::State(known.clone())));
+fn the_new_process_serves_once_it_has_the_old_ones_state() {
+    let mut handover = awaiting_state();
+    let Message::State(transferred) = state(VERSION) else { return };
+    let outputs =
+        handover.handle(START_TIME, HandoverInput::Received(1, Message::State(transferred.clone())));
     assert_eq!(
-        all,
+        outputs,
         [
-            HandoverOutput::TakeOver(known),
+            HandoverOutput::TakeOver(transferred),
             HandoverOutput::SetProcessCount(2),
             HandoverOutput::Serve,
             HandoverOutput::Send(1, Message::Serving)
         ]
     );
-    assert_eq!(machine.handle(NOW, HandoverInput::Disconnected(1)), [HandoverOutput::SetProcessCount(1)]);
-    assert!(machine.serves());
+    assert_eq!(
+        handover.handle(START_TIME, HandoverInput::Disconnected(1)),
+        [HandoverOutput::SetProcessCount(1)]
+    );
+    assert!(handover.serves());
 }
 
-/// Where bans may be lost the new one does not start; where nobody is left to ask it does.
+/// Guards against losing cordons: a new process does not start while another runs whose state it cannot read, and starts
+/// if no other process runs.
 #[test]
-fn a_peer_that_is_there_must_be_understood() {
+fn a_new_process_fails_unless_it_can_read_the_old_ones_state() {
     let cases: Vec<(Vec<HandoverInput>, bool)> = vec![
         (vec![HandoverInput::Received(1, state(VERSION + 1))], true),
         (vec![HandoverInput::Malformed(1)], true),
@@ -67,86 +72,94 @@
         (vec![HandoverInput::Disconnected(1), HandoverInput::NoPeer], false),
     ];
     for (inputs, fails) in cases {
-        let mut machine = asking();
-        let all: Vec<HandoverOutput> = inputs.iter().flat_map(|e| machine.handle(NOW, e.clone())).collect();
-        assert_eq!(all.iter().any(|d| matches!(d, HandoverOutput::Fail(_))), fails, "{inputs:?}");
+        let mut handover = awaiting_state();
+        let outputs: Vec<HandoverOutput> =
+            inputs.iter().flat_map(|input| handover.handle(START_TIME, input.clone())).collect();
         assert_eq!(
-            all.contains(&HandoverOutput::Serve),
+            outputs.iter().any(|output| matches!(output, HandoverOutput::Fail(_))),
+            fails,
+            "{inputs:?}"
+        );
+        assert_eq!(
+            outputs.contains(&HandoverOutput::Serve),
             inputs.contains(&HandoverInput::NoPeer),
             "{inputs:?}"
         );
     }
-    let mut silent = asking();
-    assert_eq!(silent.next_timeout(), Some(NOW + STATE_TIMEOUT));
+    let mut silent = awaiting_state();
+    assert_eq!(silent.next_timeout(), Some(START_TIME + STATE_TIMEOUT));
     assert!(matches!(
-        silent.handle(NOW + STATE_TIMEOUT, HandoverInput::Timeout)[..],
+        silent.handle(START_TIME + STATE_TIMEOUT, HandoverInput::Timeout)[..],
         [HandoverOutput::Fail(_)]
     ));
-    // Broken off: it is asked again, until it is silent for good.
-    let mut broken = asking();
-    assert_eq!(broken.handle(NOW, HandoverInput::Disconnected(1)), []);
-    assert_eq!(broken.handle(NOW + RETRY_PAUSE, HandoverInput::Timeout), [HandoverOutput::Connect]);
-    broken.handle(NOW + RETRY_PAUSE, HandoverInput::Connected(2));
+    // The connection is lost: the new process connects again, until the time for the state has passed.
+    let mut disconnected = awaiting_state();
+    assert_eq!(disconnected.handle(START_TIME, HandoverInput::Disconnected(1)), []);
+    assert_eq!(
+        disconnected.handle(START_TIME + RETRY_PAUSE, HandoverInput::Timeout),
+        [HandoverOutput::Connect]
+    );
+    disconnected.handle(START_TIME + RETRY_PAUSE, HandoverInput::Connected(2));
     assert!(matches!(
-        broken.handle(NOW + STATE_TIMEOUT, HandoverInput::Timeout)[..],
+        disconnected.handle(START_TIME + STATE_TIMEOUT, HandoverInput::Timeout)[..],
         [HandoverOutput::Fail(_)]
     ));
 }
 
 #[test]
-fn the_old_one_shuts_its_door_only_while_another_is_open() {
-    let mut machine = serving();
-    let other = machine.handle(NOW, HandoverInput::Received(5, hello(VERSION + 1, "n0")));
+fn the_old_process_stops_listening_only_while_a_new_one_listens() {
+    let mut handover = serving_state();
+    let other = handover.handle(START_TIME, HandoverInput::Received(5, hello(VERSION + 1, "n0")));
     assert!(matches!(other[..], [HandoverOutput::Disconnect(5, _)]));
     assert_eq!(
-        machine.handle(NOW, HandoverInput::Received(6, hello(VERSION, "n0"))),
+        handover.handle(START_TIME, HandoverInput::Received(6, hello(VERSION, "n0"))),
         [HandoverOutput::SetProcessCount(2), HandoverOutput::SendState(6)]
     );
     assert_eq!(
-        machine.handle(NOW, HandoverInput::Received(6, Message::Serving)),
+        handover.handle(START_TIME, HandoverInput::Received(6, Message::Serving)),
         [HandoverOutput::SetListening(false)]
     );
-    assert!(machine.yielded());
-    assert_eq!(machine.handle(NOW, HandoverInput::ShutdownRequested), []);
+    assert!(handover.yielded());
+    assert_eq!(handover.handle(START_TIME, HandoverInput::ShutdownRequested), []);
     assert_eq!(
-        machine.handle(NOW, HandoverInput::Disconnected(6)),
+        handover.handle(START_TIME, HandoverInput::Disconnected(6)),
         [HandoverOutput::SetListening(true), HandoverOutput::SetProcessCount(1)]
     );
-    // SIGTERM may come before the word that the new one serves.
-    machine.handle(NOW, HandoverInput::Received(7, hello(VERSION, "n0")));
-    assert_eq!(machine.handle(NOW, HandoverInput::ShutdownRequested), []);
-    assert!(machine.yielded());
-    // Two that start at a time do not take the old one from each other.
-    let mut two = serving();
-    two.handle(NOW, HandoverInput::Received(6, hello(VERSION, "n0")));
+    // SIGTERM may arrive before the message that the new process serves.
+    handover.handle(START_TIME, HandoverInput::Received(7, hello(VERSION, "n0")));
+    assert_eq!(handover.handle(START_TIME, HandoverInput::ShutdownRequested), []);
+    assert!(handover.yielded());
+    // Of two new processes that start at the same time only one takes over.
+    let mut two = serving_state();
+    two.handle(START_TIME, HandoverInput::Received(6, hello(VERSION, "n0")));
     assert!(matches!(
-        two.handle(NOW, HandoverInput::Received(7, hello(VERSION, "n0")))[..],
+        two.handle(START_TIME, HandoverInput::Received(7, hello(VERSION, "n0")))[..],
         [HandoverOutput::Disconnect(7, _)]
     ));
     assert_eq!(
-        two.handle(NOW, HandoverInput::Received(6, Message::Serving)),
+        two.handle(START_TIME, HandoverInput::Received(6, Message::Serving)),
         [HandoverOutput::SetListening(false)]
     );
-    let mut alone = serving();
+    let mut alone = serving_state();
     assert_eq!(
-        alone.handle(NOW, HandoverInput::ShutdownRequested),
+        alone.handle(START_TIME, HandoverInput::ShutdownRequested),
         [],
-        "a planned restart: clients still come here"
+        "a planned restart: clients still connect to this process"
     );
 }
 
 #[test]
-fn calls_by_hand_reach_both_and_the_one_after() {
-    let mut middle = asking();
-    middle.handle(NOW, HandoverInput::Received(1, state(VERSION)));
-    middle.handle(NOW, HandoverInput::Received(2, hello(VERSION, "n0")));
-    let message = Message::CordonChanged { worker: 7, cordoned: true, at: NOW.0 };
+fn a_cordon_change_reaches_the_older_and_the_newer_process() {
+    let mut middle = awaiting_state();
+    middle.handle(START_TIME, HandoverInput::Received(1, state(VERSION)));
+    middle.handle(START_TIME, HandoverInput::Received(2, hello(VERSION, "n0")));
+    let message = Message::CordonChanged { worker: 7, cordoned: true, at: START_TIME.0 };
     assert_eq!(
-        middle.handle(NOW, HandoverInput::CordonChanged { worker: 7, cordoned: true }),
+        middle.handle(START_TIME, HandoverInput::CordonChanged { worker: 7, cordoned: true }),
         [HandoverOutput::Send(1, message.clone()), HandoverOutput::Send(2, message.clone())]
     );
     assert_eq!(
-        middle.handle(NOW, HandoverInput::Received(1, message.clone())),
+        middle.handle(START_TIME, HandoverInput::Received(1, message.clone())),
         [
             HandoverOutput::CordonChanged { worker: 7, cordoned: true },
             HandoverOutput::Send(2, message.clone())
@@ -154,26 +167,26 @@
     );
     assert!(
         matches!(
-            serving().handle(NOW, HandoverInput::Received(9, message))[..],
+            serving_state().handle(START_TIME, HandoverInput::Received(9, message))[..],
             [HandoverOutput::Disconnect(9, _)]
         ),
-        "a stranger"
+        "an unknown peer"
     );
 }
 
 proptest! {
     #![proptest_config(crate::drawn())]
 
-    /// Whatever happens in whatever order: it serves at most once, never after it failed, and takes clients
-    /// unless a newer one is there.
+    /// For any inputs in any order, a process starts serving at most once, never after it has failed, and accepts
+    /// clients unless a newer process is connected.
     #[test]
-    fn one_door_is_open_at_any_time(picks in prop::collection::vec((0u8..12, 1u64..4, 0u64..3), 0..60)) {
-        let (mut machine, mut now) = (HandoverState::new("n0"), NOW);
-        machine.handle(now, HandoverInput::Started);
-        let (mut listener, mut served, mut failed, mut newer) = (false, 0, false, 0usize);
-        for (what, peer, later) in picks {
+    fn some_process_listens_at_any_time(picks in prop::collection::vec((0u8..12, 1u64..4, 0u64..3), 0..60)) {
+        let (mut handover, mut now) = (HandoverState::new("n0"), START_TIME);
+        handover.handle(now, HandoverInput::Started);
+        let (mut listens, mut served, mut failed, mut newer) = (false, 0, false, 0usize);
+        for (kind, peer, later) in picks {
             now = now + Duration::millis(later * 900);
-            let input = match what {
+            let input = match kind {
                 0 => [HandoverInput::NoPeer, HandoverInput::ConnectFailed][peer as usize % 2].clone(),
                 1 => HandoverInput::Connected(peer),
                 2 => HandoverInput::Received(peer, hello(VERSION, "n0")),
@@ -185,24 +198,24 @@
                 10 => HandoverInput::ShutdownRequested,
                 _ => HandoverInput::Timeout,
             };
-            for action in machine.handle(now, input) {
-                match action {
+            for output in handover.handle(now, input) {
+                match output {
                     HandoverOutput::Serve => {
                         prop_assert!(!failed);
                         served += 1;
-                        listener = true;
+                        listens = true;
                     }
                     HandoverOutput::SetListening(open) => {
-                        prop_assert!(listener != open);
-                        listener = open;
+                        prop_assert!(listens != open);
+                        listens = open;
                     }
                     HandoverOutput::Fail(_) => failed = true,
                     HandoverOutput::SetProcessCount(count) => newer = count - 1,
                     _ => {}
                 }
             }
-            prop_assert!(served <= 1 && machine.serves() == (served == 1));
-            prop_assert!(listener || served == 0 || newer > 0, "nobody is at the door");
+            prop_assert!(served <= 1 && handover.serves() == (served == 1));
+            prop_assert!(listens || served == 0 || newer > 0, "no process accepts clients");
         }
     }
 }
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -1,10 +1,10 @@
-//! What operators do with a running daemon, on real sockets: the second address, bans, new settings, upgrades.
+//! Operation of a running daemon on real sockets: the second address, cordons, new settings, upgrades.
 
 #![allow(
     clippy::unwrap_used,
     clippy::too_many_lines,
     clippy::needless_pass_by_value,
-    reason = "a test that cannot go on ends there, and is read from top to bottom"
+    reason = "a failed unwrap ends the test, and a test is read from top to bottom"
 )]
 
 mod rig;
@@ -15,6 +15,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::os::unix::net::UnixListener;
 
+/// Sends a request on this stream and returns the next frame that the client receives.
 fn serve_one(client: &mut Frames, stream: u32) -> Option<(u8, u32, Vec<u8>)> {
     client.send(&frame(0, stream, &call("practice-check", &format!("{stream:016x}"), 2000, b"x")));
     client.next()
@@ -28,25 +29,29 @@
         if heard.line["rid"] == "0000000000000002" { Some(("500", String::new())) } else { echo(heard) }
     });
     assert_eq!(daemon.operate("GET", "/api/ready"), (200, "ready\n".to_owned()));
-    assert_eq!(daemon.figure("answered.credit-submit"), Some(0), "from the start");
+    assert_eq!(daemon.figure("answered.credit-submit"), Some(0), "the figure is there from the start");
     let mut client = Frames::connect(daemon.listen);
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
-    assert_eq!(serve_one(&mut client, 2).map(|(_, _, payload)| payload[0]), Some(66), "given up");
+    assert_eq!(
+        serve_one(&mut client, 2).map(|(_, _, payload)| payload[0]),
+        Some(66),
+        "the request is given up"
+    );
     let figures = ["answered", "deferred", "errored"].map(|w| daemon.figure(&format!("{w}.practice-check")));
     assert_eq!(figures, [Some(1), Some(1), Some(0)]);
     assert_eq!(daemon.figure("sends"), Some(daemon.counter("sent")));
     assert_eq!((daemon.figure("current"), daemon.figure("cluster_size")), (Some(0), Some(1)));
-    let bad = daemon.reload("{");
+    let reloaded = daemon.reload("{");
     assert_eq!(
-        (bad.as_str(), daemon.figure("conf_invalid"), daemon.figure("conf_loaded")),
+        (reloaded.as_str(), daemon.figure("conf_invalid"), daemon.figure("conf_loaded")),
         ("refused", Some(1), Some(0))
     );
 }
 
-/// While a worker is out by hand nothing new reaches it, whatever the bus tells; one call back ends that, and
-/// what was open there goes on.
+/// A worker that an operator has cordoned receives no new requests, whatever discovery reports; its open requests
+/// continue. A single uncordon ends this, however often it was cordoned.
 #[test]
-fn a_worker_out_by_hand_gets_nothing_until_the_call_back() {
+fn a_cordoned_worker_receives_no_requests_until_it_is_uncordoned() {
     let (one, two) = (Worker::over_tcp(), Worker::over_tcp());
     let bus = Bus::new();
     let at = bus.0.local_addr().unwrap();
@@ -66,12 +71,12 @@
         assert_eq!(daemon.operate("POST", &format!("/api/exclude?name={id}")).0, 200);
     }
     assert_eq!(daemon.figure("cluster_unhealthy"), Some(1));
-    // The bus tells that it is gone, and is back.
+    // Discovery reports the worker as removed, then as back.
     let (mut feed, _) = bus.accept();
     feed.write_all(&[event(2, home.0, home.1, 2), event(3, home.0, home.1, 0)].concat()).unwrap();
     daemon.wait_counter("list_events", 3);
     open.answer("200", "eA==");
-    assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])), "what it had is answered");
+    assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])), "the open request is answered");
     for stream in 2..8 {
         client.send(&frame(0, stream, &call("practice-check", &format!("{stream:016x}"), 2000, b"y")));
         let mut heard = other.1.next();
@@ -82,12 +87,12 @@
         heard.answer("200", "eA==");
         assert_eq!(client.next(), Some((1, stream, vec![79, 0, b'x'])));
     }
-    assert!(home.1.quiet(), "nothing new reached it");
+    assert!(home.1.quiet(), "no new request reached it");
     assert_eq!(daemon.operate("POST", &format!("/api/include?name={id}")).0, 200);
     assert_eq!(daemon.figure("cluster_unhealthy"), Some(0));
     assert_eq!(daemon.operate("POST", "/api/exclude?name=s-0000ffff").0, 404);
     assert_eq!(daemon.operate("POST", "/api/include?name=s-0000ffff").0, 404);
-    // It takes work again, on a connection of its own.
+    // It receives requests again, on a new connection.
     let other_id = format!("s-{:08x}", other.0);
     assert_eq!(daemon.operate("POST", &format!("/api/exclude?name={other_id}")).0, 200);
     client.send(&frame(0, 9, &call("practice-check", "0000000000000009", 2500, b"y")));
@@ -100,12 +105,13 @@
     heard.answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 9, vec![79, 0, b'x'])));
     assert_eq!(daemon.operate("POST", &format!("/api/exclude?name={id}")).0, 200);
-    assert_eq!(daemon.operate("GET", "/api/ready").0, 503, "nobody is left to place a call at");
+    assert_eq!(daemon.operate("GET", "/api/ready").0, 503, "no worker is left for a request");
 }
 
-/// Callers that complete nothing, and clients that hold every descriptor they can get, keep no call waiting.
+/// Guards against incomplete calls on the second address, and clients that hold every descriptor they can get, delaying
+/// an operator's call.
 #[test]
-fn the_second_address_answers_whatever_a_crowd_holds() {
+fn the_second_address_answers_while_clients_hold_all_descriptors() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::limited(&[&worker], json!({"sockets": 96}));
     worker.serve(echo);
@@ -124,21 +130,24 @@
         stream.set_read_timeout(Some(LONG)).unwrap();
         let mut text = Vec::new();
         let _ = stream.read_to_end(&mut text);
-        assert!(text.is_empty() || text.starts_with(b"HTTP/1.1 408"), "evicted, or told that its time is up");
+        assert!(
+            text.is_empty() || text.starts_with(b"HTTP/1.1 408"),
+            "evicted, or answered that its time is up"
+        );
     }
     drop(crowd);
-    // A second call on one connection, and one cut off, change nothing.
+    // A second call on one connection, and a truncated call, change nothing.
     let call = "POST /api/exclude?name=s-00000001 HTTP/1.1\r\n\r\n";
     assert_eq!(operate(daemon.mgmt, format!("{call}{call}").as_bytes()).0, 400);
-    let mut cut = TcpStream::connect(daemon.mgmt).unwrap();
-    cut.write_all(&call.as_bytes()[..call.len() - 1]).unwrap();
-    cut.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(cut.read_to_end(&mut Vec::new()).unwrap(), 0);
+    let mut truncated = TcpStream::connect(daemon.mgmt).unwrap();
+    truncated.write_all(&call.as_bytes()[..call.len() - 1]).unwrap();
+    truncated.shutdown(std::net::Shutdown::Write).unwrap();
+    assert_eq!(truncated.read_to_end(&mut Vec::new()).unwrap(), 0);
     assert_eq!(daemon.figure("cluster_unhealthy"), Some(0));
 }
 
-/// A daemon on a door that the platform holds.
-fn at_a_door(workers: &[&Worker], listener: &TcpListener) -> Daemon {
+/// Starts a daemon on a listener that the platform holds.
+fn start_on_listener(workers: &[&Worker], listener: &TcpListener) -> Daemon {
     let first = Daemon::start(workers);
     let mut daemon = first.beside(listener);
     daemon.serves();
@@ -149,13 +158,14 @@
     daemon.operate("POST", &format!("/api/exclude?name=s-{id:08x}")).0
 }
 
-/// To operators, workers and clients old and new are one scheduler: bans told to one bind both, whoever comes
-/// finds an open door, and what was half read at the old one is still answered there.
+/// During an upgrade the old and the new process appear as one scheduler to operators, workers and clients: cordons set at
+/// one apply to both, a new client always finds an open listener, and a request that the old process has half read is still
+/// answered by it.
 #[test]
 fn a_new_version_takes_over_under_load() {
     let workers = [Worker::over_tcp(), Worker::over_tcp(), Worker::over_tcp()];
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut old = at_a_door(&workers.each_ref(), &listener);
+    let mut old = start_on_listener(&workers.each_ref(), &listener);
     assert_eq!(old.listen, listener.local_addr().unwrap());
     let lines = workers.map(|worker| worker.serve(echo));
     let mut client = Frames::connect(old.listen);
@@ -166,13 +176,13 @@
     let mut new = old.beside(&listener);
     new.serves();
     old.wait_log("listener=closed");
-    assert_eq!(new.figure("cluster_unhealthy"), Some(1), "who was out is out");
+    assert_eq!(new.figure("cluster_unhealthy"), Some(1), "a cordoned worker stays cordoned");
     assert_eq!((new.figure("sends"), new.operate("GET", "/api/ready").0), (Some(0), 200));
-    // New settings in the middle of it: whoever is told takes them, and bans stay.
-    let mut retuned = old.config.clone();
-    retuned["settings"]["classes"][1]["name"] = json!("exam-submit");
-    assert!(new.reload(&retuned.to_string()).starts_with("offset="));
-    assert!(old.reload(&retuned.to_string()).starts_with("offset="));
+    // New settings during the upgrade: each process that is reloaded applies them, and cordons stay.
+    let mut changed = old.config.clone();
+    changed["settings"]["classes"][1]["name"] = json!("exam-submit");
+    assert!(new.reload(&changed.to_string()).starts_with("offset="));
+    assert!(old.reload(&changed.to_string()).starts_with("offset="));
     assert_eq!(new.figure("answered.exam-submit"), Some(0));
     assert_eq!((exclude(&old, 2), exclude(&new, 1)), (200, 200));
     while new.figure("cluster_unhealthy") != Some(2) {}
@@ -181,16 +191,16 @@
     old.signal("TERM");
     let mut other = Frames::connect(old.listen);
     assert_eq!(serve_one(&mut other, 3), Some((1, 3, vec![79, 0, b'x'])));
-    assert_eq!(new.figure("answered.practice-check"), Some(1), "the new one took it");
+    assert_eq!(new.figure("answered.practice-check"), Some(1), "the new process accepted it");
     client.send(&whole[20..]);
     assert_eq!(client.next(), Some((9, 0, vec![])));
     assert_eq!(
         client.next(),
         Some((1, 2, vec![79, 0, b'x'])),
-        "the old one answers what it has begun to read"
+        "the old process answers the request that it has half read"
     );
     assert!(old.ends());
-    // The next upgrade finds the one that serves now.
+    // The next upgrade connects to the process that serves now.
     let mut next = new.beside(&listener);
     next.serves();
     assert_eq!(next.figure("cluster_unhealthy"), Some(1));
@@ -199,16 +209,16 @@
     assert_eq!(serve_one(&mut client, 4), Some((1, 4, vec![79, 0, b'x'])));
     assert!(new.ends());
     let calls = |n: usize| tally(&lines[n]).get("go").copied().unwrap_or(0);
-    assert_eq!(calls(0) + calls(1) + calls(2), 4, "each ran once");
+    assert_eq!(calls(0) + calls(1) + calls(2), 4, "each request ran once");
 }
 
-/// A new process that ends before or after its yes leaves the old one at the door; an old one that was killed
-/// leaves a socket file that keeps nobody from starting.
+/// If the new process is killed, the old one listens again; if the old one is killed, its leftover socket file does not
+/// keep another from starting.
 #[test]
 fn either_process_may_be_killed_in_an_upgrade() {
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut old = at_a_door(&[&worker], &listener);
+    let mut old = start_on_listener(&[&worker], &listener);
     worker.serve(echo);
     let mut new = old.beside(&listener);
     new.serves();
@@ -225,34 +235,35 @@
     assert_eq!(serve_one(&mut client, 2), Some((1, 2, vec![79, 0, b'x'])));
 }
 
-/// Bans would be lost: a new process that cannot learn them does not start while another holds them.
+/// Guards against losing cordons: a new process does not start while it cannot read the state of the old one.
 #[test]
-fn a_new_process_does_not_start_beside_one_that_it_does_not_understand() {
+fn a_new_process_does_not_start_if_it_cannot_read_the_old_ones_state() {
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let first = Daemon::start(&[&worker]);
-    let says: [&[u8]; 4] =
+    let answers: [&[u8]; 4] =
         [b"", &[255; 8], b"\0\0\0\x09\"serving\"", b"\0\0\0\x1e{\"hello\":{\"version\":1,\"name\":\"\"}}"];
-    for said in says {
-        let place = first.folder.at("mintgate-n0.sock");
-        let _ = std::fs::remove_file(&place);
-        let peer = UnixListener::bind(&place).unwrap();
+    for answer in answers {
+        let path = first.folder.at("mintgate-n0.sock");
+        let _ = std::fs::remove_file(&path);
+        let peer = UnixListener::bind(&path).unwrap();
         let mut new = first.beside(&listener);
         let (mut stream, _) = peer.accept().unwrap();
-        stream.write_all(said).unwrap();
+        stream.write_all(answer).unwrap();
         assert!(!new.ends());
         new.wait_log("cannot serve: the old process");
     }
-    // Nor on what is no listener.
+    // Nor does it start if the passed descriptor is not a listener.
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let mut new = first.beside(&TcpListener::from(std::os::fd::OwnedFd::from(stream)));
     assert!(!new.ends());
     new.wait_log("GW_PASSED_SOCKET names descriptor 0: not a listening TCP socket");
 }
 
-/// One answer in sixteen is long, comes in pieces, and is read slowly, also while the daemon ends.
+/// A long answer that arrives in pieces is forwarded completely to a slow reader, also while the daemon shuts down. One
+/// answer in sixteen is long.
 #[test]
-fn a_long_answer_is_passed_on_whole_however_slowly_it_is_read() {
+fn a_long_answer_is_forwarded_completely_to_a_slow_reader() {
     let worker = Worker::over_tcp();
     let mut daemon = Daemon::start(&[&worker]);
     let body: Vec<u8> = (0..230_000u32).map(|n| n as u8).collect();
@@ -264,12 +275,12 @@
     let mut other = worker.next();
     let content = base64::Engine::encode(&base64::engine::general_purpose::STANDARD, &body);
     let line = json!({"verb": "200", "rid": heard.name(), "content": content}).to_string();
-    let (most, rest) = line.as_bytes().split_at(line.len() - 10);
-    for piece in most.chunks(30_000) {
+    let (first, rest) = line.as_bytes().split_at(line.len() - 10);
+    for piece in first.chunks(30_000) {
         heard.raw(piece);
     }
     other.answer("200", "eA==");
-    assert_eq!(quick.next(), Some((1, 1, vec![79, 0, b'x'])), "others do not wait for it");
+    assert_eq!(quick.next(), Some((1, 1, vec![79, 0, b'x'])), "other requests are not delayed by it");
     heard.raw(rest);
     heard.raw(b"\n");
     daemon.wait_counter("served", 2);
@@ -279,13 +290,13 @@
     assert!(daemon.ends());
 }
 
-/// A new version that comes while a broken file is in place starts with what the old one uses, and not beside
-/// nobody.
+/// A new version that starts while the configuration file is invalid uses the old process's configuration; without an old
+/// process it does not start.
 #[test]
 fn a_broken_file_does_not_keep_a_new_version_from_starting() {
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut old = at_a_door(&[&worker], &listener);
+    let mut old = start_on_listener(&[&worker], &listener);
     worker.serve(echo);
     let mut broken = old.config.clone();
     broken["settings"]["bounds"]["mostTries"] = json!(0);
@@ -303,25 +314,25 @@
     drop(new);
     next.signal("KILL");
     assert!(!next.ends());
-    assert!(!old.beside(&listener).ends(), "nobody serves: the file counts");
+    assert!(!old.beside(&listener).ends(), "no process serves, so the invalid file is used");
 }
 
-/// What the old process uses stands in for a broken configuration, and not for an operator's file that its settings
-/// forbid: such a fleet must not start by way of an upgrade.
+/// The old process's configuration replaces an invalid one, but not an operator's file that the settings forbid: such a
+/// fleet must not start through an upgrade either.
 #[test]
 fn a_fleet_that_the_settings_forbid_does_not_start_in_an_upgrade() {
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let old = at_a_door(&[&worker], &listener);
+    let old = start_on_listener(&[&worker], &listener);
     std::fs::write(old.folder.at("operator.toml"), include_str!("../deploy/fleet.toml")).unwrap();
     let mut new = old.beside(&listener);
     assert!(!new.ends());
     new.wait_log("bounds.peers of the settings is false");
 }
 
-/// The second front and the virtual router pass to the new process with the rest.
+/// The second front and the virtual router move to the new process as well.
 #[test]
-fn an_upgrade_takes_the_second_front_along() {
+fn an_upgrade_moves_the_second_front_and_the_virtual_router() {
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let first = Daemon::with(&[&worker], settings(), None, |folder| {
@@ -346,13 +357,13 @@
         client.send(&rpc_call(&json!(1), "practice-check", name, 2000, "eA==").to_string());
     }
     assert_eq!(after.next()["result"]["body"], "eA==");
-    assert!(before.next().get("id").is_some(), "an answer, by the one that was asked");
+    assert!(before.next().get("id").is_some(), "the process that received the request answers it");
     assert!(old.ends());
 }
 
-/// In a crowd that connects and says nothing, whoever is writing a request keeps its place.
+/// Guards against many idle connections evicting a client that is still writing its request.
 #[test]
-fn a_slow_request_outlives_a_silent_crowd() {
+fn a_slow_request_is_not_evicted_by_idle_connections() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::limited(&[&worker], json!({"sockets": 96}));
     worker.serve(echo);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! Several real processes of one fleet, and what happens between them.
+//! Tests of several real processes of one fleet: leases, membership, `fleet status` and `check`.
 
 #![allow(
     clippy::unwrap_used,
     clippy::too_many_lines,
     clippy::needless_pass_by_value,
-    reason = "a test that cannot go on ends there, and is read from top to bottom"
+    reason = "a failed unwrap ends the test, and a test is read from top to bottom"
 )]
 
 mod rig;
@@ -14,29 +14,30 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 
-/// What a receiver was told to do, in the order in which it came: by which process.
-type Acts = Arc<Mutex<Vec<usize>>>;
+/// The indices of the processes that probed the workers, in the order of the probes.
+type Probes = Arc<Mutex<Vec<usize>>>;
 
-/// Starts processes of one fleet, each with a way of its own to the same receiver.
-fn fleet(count: usize, term_ms: u64, acts: &Acts) -> Vec<Daemon> {
-    fleet_with(count, term_ms, 71, acts, |_, _| String::new())
+/// Starts processes of one fleet. Each has a worker of its own, whose probes are recorded in the shared list.
+fn fleet(count: usize, term_ms: u64, probes: &Probes) -> Vec<Daemon> {
+    fleet_with(count, term_ms, 71, probes, |_, _| String::new())
 }
 
-/// The same, with more in the operator's file of each, on addresses that no other test has.
+/// Does the same with additional sections in the operator's file of each process, on loopback addresses from
+/// 127.0.0.`first_address` up, which no other test uses.
 fn fleet_with(
     count: usize,
     term_ms: u64,
-    address: usize,
-    acts: &Acts,
-    more: impl Fn(usize, &Folder) -> String,
+    first_address: usize,
+    probes: &Probes,
+    extra_sections: impl Fn(usize, &Folder) -> String,
 ) -> Vec<Daemon> {
-    // Each must know the others' ports before it starts. No other test binds these addresses, so what the
-    // system gives out stays free.
-    let at: Vec<SocketAddr> = (0..count)
-        .map(|n| UdpSocket::bind(format!("127.0.0.{}:0", address + n)).unwrap().local_addr().unwrap())
+    // Each process must know the others' ports before it starts. No other test binds these addresses, so the ports
+    // that the system assigns stay free.
+    let addresses: Vec<SocketAddr> = (0..count)
+        .map(|n| UdpSocket::bind(format!("127.0.0.{}:0", first_address + n)).unwrap().local_addr().unwrap())
         .collect();
     let electors: Vec<String> =
-        at.iter().enumerate().map(|(n, at)| format!("{{ index = {n}, at = \"{at}\" }}")).collect();
+        addresses.iter().enumerate().map(|(n, at)| format!("{{ index = {n}, at = \"{at}\" }}")).collect();
     (0..count)
         .map(|n| {
             let worker = Worker::over_tcp();
@@ -45,32 +46,33 @@
             settings["index"] = json!(n);
             settings["bounds"]["peers"] = json!(true);
             let daemon = Daemon::with(&[&worker], settings, None, |folder| {
-                more(n, folder)
+                extra_sections(n, folder)
                     + &format!(
                         "[fleet]\nname = \"test\"\nbind = \"{}\"\nelectors = [{}]\nterm_ms = {term_ms}\n\
                      delay_ms = 20\nparts = 1\n",
-                        at[n],
+                        addresses[n],
                         electors.join(", ")
                     )
             });
-            let acts = acts.clone();
+            let probes = probes.clone();
             worker.serve(move |heard| {
-                let probe = heard.word() == "stat";
-                acts.lock().unwrap().extend(probe.then_some(n));
-                probe.then(|| ("alive", String::new()))
+                let is_probe = heard.word() == "stat";
+                probes.lock().unwrap().extend(is_probe.then_some(n));
+                is_probe.then(|| ("alive", String::new()))
             });
             daemon
         })
         .collect()
 }
 
+/// The fence under which a process last acquired the probe lease, from its log.
 fn fence(daemon: &Daemon) -> Option<u64> {
     let log = daemon.log.lock().unwrap();
     let line = log.lines().rfind(|line| line.contains("fleet lease held task=probe"))?;
     line.rsplit_once("fence=")?.1.parse().ok()
 }
 
-/// Waits until one of these holds the task; which, and under what fence.
+/// Waits until one of these processes holds the probe lease; returns its position and its fence.
 fn holder(daemons: &[&Daemon]) -> (usize, u64) {
     let start = std::time::Instant::now();
     loop {
@@ -78,56 +80,58 @@
         if let Some(held) = held {
             return held;
         }
-        assert!(start.elapsed() < LONG, "nobody holds the task");
+        assert!(start.elapsed() < LONG, "no process holds the task");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-fn wait_act(acts: &Acts, of: usize) {
+/// Waits until the latest probe is by this process.
+fn wait_probe(probes: &Probes, by: usize) {
     let start = std::time::Instant::now();
-    while acts.lock().unwrap().last() != Some(&of) {
-        assert!(start.elapsed() < LONG, "{of} does nothing: {:?}", acts.lock().unwrap());
+    while probes.lock().unwrap().last() != Some(&by) {
+        assert!(start.elapsed() < LONG, "process {by} does not probe: {:?}", probes.lock().unwrap());
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-/// The holder is killed: another one holds the task next, and at no time did two act.
+/// The holder of a lease is killed: another process holds it next, and at no time do two processes perform the task.
 #[test]
-fn a_task_passes_on_when_its_holder_is_killed() {
-    let acts = Acts::default();
-    let mut daemons = fleet(3, 800, &acts);
+fn a_task_moves_to_another_process_when_its_holder_is_killed() {
+    let probes = Probes::default();
+    let mut daemons = fleet(3, 800, &probes);
     let (first, fence) = holder(&daemons.iter().collect::<Vec<_>>());
-    wait_act(&acts, first);
-    wait_act(&acts, first);
+    wait_probe(&probes, first);
+    wait_probe(&probes, first);
     daemons[first].child.kill().unwrap();
     daemons[first].child.wait().unwrap();
     let rest: Vec<usize> = (0..3).filter(|n| *n != first).collect();
-    let (next, higher) = holder(&rest.iter().map(|n| &daemons[*n]).collect::<Vec<_>>());
-    assert!(higher > fence, "{higher} after {fence}");
-    wait_act(&acts, rest[next]);
-    let acts = acts.lock().unwrap().clone();
-    let turn = acts.iter().position(|n| *n == rest[next]).unwrap();
-    assert!(acts[..turn].iter().all(|n| *n == first), "{acts:?}");
-    assert!(acts[turn..].iter().all(|n| *n == rest[next]), "{acts:?}");
+    let (next, next_fence) = holder(&rest.iter().map(|n| &daemons[*n]).collect::<Vec<_>>());
+    assert!(next_fence > fence, "{next_fence} after {fence}");
+    wait_probe(&probes, rest[next]);
+    let probes = probes.lock().unwrap().clone();
+    let change = probes.iter().position(|n| *n == rest[next]).unwrap();
+    assert!(probes[..change].iter().all(|n| *n == first), "{probes:?}");
+    assert!(probes[change..].iter().all(|n| *n == rest[next]), "{probes:?}");
 }
 
-/// Who takes new calls on the second front and who does the fleet's tasks are two questions: the one goes from
-/// process to process without the other.
+/// Which process is the active virtual router and which holds the fleet's leases are independent: the router fails over
+/// without any lease moving.
 #[test]
-fn the_active_router_need_not_hold_and_its_end_moves_no_lease() {
-    let acts = Acts::default();
-    let at = ["127.0.0.91:0", "127.0.0.92:0"].map(|at| UdpSocket::bind(at).unwrap().local_addr().unwrap());
-    // Which process holds is drawn, so both orders of priority are tried, by turns.
+fn the_active_router_need_not_hold_a_lease_and_its_failover_moves_none() {
+    let probes = Probes::default();
+    let routers =
+        ["127.0.0.91:0", "127.0.0.92:0"].map(|at| UdpSocket::bind(at).unwrap().local_addr().unwrap());
+    // Which process holds the lease is random, so both orders of priority are tried.
     for priority in [[100, 200], [200, 100]] {
-        let mut daemons = fleet_with(3, 800, 81, &acts, |n, folder| match n {
+        let mut daemons = fleet_with(3, 800, 81, &probes, |n, folder| match n {
             2 => String::new(),
             n => format!(
                 "[jsonrpc]\nsocket = {:?}\n[vrrp]\nvrid = 9\npriority = {}\ninterval_cs = 20\nbind = \"{}\"\n\
                  peers = [\"{}\"]\naddress = \"127.0.0.100\"\n",
                 folder.at("calls.sock"),
                 priority[n],
-                at[n],
-                at[1 - n]
+                routers[n],
+                routers[1 - n]
             ),
         });
         let active = usize::from(priority[1] > priority[0]);
@@ -139,17 +143,18 @@
         daemons[active].child.kill().unwrap();
         daemons[active].child.wait().unwrap();
         daemons[1 - active].wait_log("state=Active");
-        wait_act(&acts, held);
-        wait_act(&acts, held);
-        assert_eq!(self::fence(&daemons[held]), Some(fence), "it holds on");
+        wait_probe(&probes, held);
+        wait_probe(&probes, held);
+        assert_eq!(self::fence(&daemons[held]), Some(fence), "the holder keeps the lease");
     }
 }
 
-/// A file whose fleet is odd is refused whole at SIGHUP, with the key, and the lease stays where it is.
+/// At SIGHUP an operator's file with an invalid `[fleet]` section is rejected as a whole, with the key in the message, and
+/// the holder keeps its lease.
 #[test]
-fn an_odd_fleet_is_refused_at_sighup_and_the_holder_holds_on() {
-    let acts = Acts::default();
-    let mut daemons = fleet_with(3, 800, 94, &acts, |_, _| String::new());
+fn an_invalid_fleet_is_refused_at_sighup_and_the_holder_keeps_the_lease() {
+    let probes = Probes::default();
+    let mut daemons = fleet_with(3, 800, 94, &probes, |_, _| String::new());
     let (held, fence) = holder(&daemons.iter().collect::<Vec<_>>());
     let daemon = &mut daemons[held];
     let path = daemon.folder.at("operator.toml");
@@ -171,20 +176,20 @@
     std::fs::write(&path, good.replace("parts = 1", "parts = 2")).unwrap();
     assert_ne!(daemon.reload(&config), "refused");
     daemon.wait_log("reload ignored what=fleet");
-    wait_act(&acts, held);
-    wait_act(&acts, held);
+    wait_probe(&probes, held);
+    wait_probe(&probes, held);
     assert_eq!(self::fence(daemon), Some(fence));
 }
 
-/// Two processes with one index: the one that came later is the member, and the earlier one does nothing more.
+/// Two processes with one index: the one that started later is the member, and the earlier one leaves the fleet.
 #[test]
 fn of_two_processes_with_one_index_the_earlier_leaves_the_fleet() {
-    let acts = Acts::default();
-    let daemons = fleet_with(3, 800, 101, &acts, |_, _| String::new());
+    let probes = Probes::default();
+    let daemons = fleet_with(3, 800, 101, &probes, |_, _| String::new());
     holder(&daemons.iter().collect::<Vec<_>>());
     let electors = std::fs::read_to_string(daemons[0].folder.at("operator.toml")).unwrap();
     let electors = electors.lines().find(|line| line.starts_with("electors")).unwrap().to_owned();
-    // Members that are no electors, both said to be the fourth.
+    // Members that are not electors, both configured with index 3.
     let fourth = |bind: &str| {
         let worker = Worker::over_tcp();
         let mut settings = settings();
@@ -208,11 +213,12 @@
     assert!(!later.log.lock().unwrap().contains("fleet left"));
 }
 
-/// What operators see of a fleet: who is up, who holds what; and at an elector without a majority, that nobody does.
+/// Operators see which members are up and which process holds a lease and, at an elector without a majority, that no
+/// process holds one.
 #[test]
-fn operators_see_who_holds_and_that_nobody_does() {
-    let acts = Acts::default();
-    let mut daemons = fleet_with(3, 800, 107, &acts, |_, _| String::new());
+fn operators_see_the_holder_or_that_there_is_none() {
+    let probes = Probes::default();
+    let mut daemons = fleet_with(3, 800, 107, &probes, |_, _| String::new());
     let (held, fence) = holder(&daemons.iter().collect::<Vec<_>>());
     let (status, text) = daemons[held].operate("GET", "/api/fleet");
     assert_eq!(status, 200);
@@ -222,11 +228,11 @@
     );
     assert_eq!(daemons[held].figure("fleet.members"), Some(3));
     let at = daemons[held].mgmt.to_string();
-    let asked = std::process::Command::new(env!("CARGO_BIN_EXE_mintgate"))
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_mintgate"))
         .args(["fleet", "status", "--at", &at])
         .output()
         .unwrap();
-    assert!(asked.status.success() && asked.stdout.starts_with(b"process "), "{asked:?}");
+    assert!(output.status.success() && output.stdout.starts_with(b"process "), "{output:?}");
     for other in (0..3).filter(|n| *n != held) {
         daemons[other].child.kill().unwrap();
         daemons[other].child.wait().unwrap();
@@ -234,15 +240,15 @@
     daemons[held].wait_log("fleet lease lost task=probe part=0");
     let start = std::time::Instant::now();
     while daemons[held].figure("fleet.fallbacks") != Some(2) {
-        assert!(start.elapsed() < LONG, "both tasks are nobody's");
+        assert!(start.elapsed() < LONG, "both tasks are without a holder");
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
-    assert_eq!(daemons[held].operate("GET", "/api/ready").0, 200, "it serves on");
+    assert_eq!(daemons[held].operate("GET", "/api/ready").0, 200, "it continues to serve");
 }
 
-/// `mintgate check` says what a start would say, and starts nothing.
+/// `mintgate check` reports what a start would report, and starts nothing.
 #[test]
-fn check_says_whether_it_would_start() {
+fn check_reports_whether_the_daemon_would_start() {
     let folder = Folder::new();
     let mut settings = settings();
     settings["bounds"]["peers"] = json!(true);
@@ -257,8 +263,8 @@
         let text = [output.stdout, output.stderr].concat();
         (output.status.success(), String::from_utf8(text).unwrap())
     };
-    let (well, text) = check(good);
-    assert!(well && text.contains("3 electors"), "{text}");
-    let (well, text) = check(&good.replace("parts = 3", "parts = 0"));
-    assert!(!well && text.contains("fleet.parts"), "{text}");
+    let (succeeded, text) = check(good);
+    assert!(succeeded && text.contains("3 electors"), "{text}");
+    let (succeeded, text) = check(&good.replace("parts = 3", "parts = 0"));
+    assert!(!succeeded && text.contains("fleet.parts"), "{text}");
 }
