--- a/src/fleet/lease/model.rs
+++ b/src/fleet/lease/model.rs
@@ -248,14 +248,12 @@
     let checker = fleet.checker().threads(threads);
     match depth {
         // Breadth first, so that all omitted states are further than `depth` from the start.
-        Some(depth) => {
-            check_properties(&checker.target_max_depth(depth).spawn_bfs().join(), &[LEASE_ACQUIRED])
-        }
-        None => check_properties(&checker.spawn_dfs().join(), &[LEASE_ACQUIRED, REACQUIRED_AFTER_CRASH]),
+        Some(depth) => verify(&checker.target_max_depth(depth).spawn_bfs().join(), &[LEASE_ACQUIRED]),
+        None => verify(&checker.spawn_dfs().join(), &[LEASE_ACQUIRED, REACQUIRED_AFTER_CRASH]),
     }
 }
 
-fn check_properties(checker: &impl Checker<Fleet>, sometimes: &[&'static str]) {
+fn verify(checker: &impl Checker<Fleet>, sometimes: &[&'static str]) {
     println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
     checker.assert_no_discovery(AT_MOST_ONE_HOLDER);
     checker.assert_no_discovery(FENCES_INCREASE);
