--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,5 @@
-//! Whether a worker may be sent a request now, and how long a request that finds no room waits for it.
+//! Admission of requests to workers: which worker may be sent a request now, and how long a request may wait
+//! until a worker has room.
 
 use super::lifecycle::PLACEMENT_RETRY_DELAY;
 use super::slow_start::has_budget;
@@ -6,22 +7,23 @@
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Classes worth this multiple of another's, for their work, get that much more room.
+/// Ratio of priority weight per second of work above which a class has priority over another. The concurrency
+/// limits of workers are multiplied by the same figure for a class with priority.
 const PRIORITY_ADVANTAGE: f64 = 1.5;
-/// Least usual latency that a class's worth is divided by, in seconds.
+/// Lower bound on the mean latency that a class's priority weight is divided by, in seconds.
 const MIN_USUAL_LATENCY_S: f64 = 0.001;
-/// Share of the workers without room above which requests are shed.
+/// Share of the workers without room above which waiting requests are shed.
 const CROWDED_SHARE: f64 = 0.5;
-/// Share of the latency objective that a request may wait for room in a crowd: with its work and a queue it
-/// would then
-/// end late.
+/// Share of its latency objective that a request may wait for room while the fleet is saturated. After a
+/// longer wait, its execution and a queue at the worker would make it late.
 const CROWDED_WAIT_SHARE: f64 = 0.2;
-/// Share of a request's whole time after which one that has found no room yet is rejected.
+/// Share of the time until its deadline after which a request that has found no room is rejected.
 const MAX_WAIT_SHARE: f64 = 0.4;
 
 impl Policy {
-    /// Whether a request may be sent to a worker: listed and ready, not avoided, within its slow-start
-    /// budget, attempts left, one at a time, and allowed by the class's effect.
+    /// Returns whether a request may be sent to a worker: the worker is listed, ready, not avoided and within
+    /// its slow-start budget; the request has attempts left, none in flight, and its class's effect allows a
+    /// repeat there.
     pub(super) fn may_send(&self, id: RequestId, worker: WorkerId) -> bool {
         let Some(request) = self.requests.pending.get(&id) else { return false };
         let Some(worker) = self.workers.get(worker) else { return false };
@@ -39,13 +41,13 @@
             && retry::may_repeat(class.effect, first_run.at, self.now)
     }
 
-    /// Whether our requests at a worker are below the limit that its answers have shown to be good.
+    /// Returns whether our requests in flight at a worker are below its concurrency limit.
     pub(super) fn has_room(&self, worker: WorkerId, class: usize) -> bool {
         let multiple = if self.has_priority(class) { PRIORITY_ADVANTAGE } else { 1.0 };
         self.workers.get(worker).is_some_and(|worker| worker.limit.admits(worker.in_flight, multiple))
     }
 
-    /// Whether a class is worth clearly more than another for its work: it is given more room.
+    /// Returns whether a class's priority weight per second of work is clearly above that of another class.
     fn has_priority(&self, class: usize) -> bool {
         let usual_s = self.class_latencies.all_usual_s();
         let worth_per_s = |class: usize| {
@@ -54,9 +56,9 @@
         (0..usual_s.len()).any(|other| worth_per_s(class) > worth_per_s(other) * PRIORITY_ADVANTAGE)
     }
 
-    /// Keeps a request for which no worker has room: queues at workers would only prolong an overload. What
-    /// would end
-    /// late in a crowd is shed.
+    /// Delays a request for which no worker has room: sending it on would only lengthen the queues at workers
+    /// and prolong an overload. A request that would end late because the fleet is saturated is rejected at
+    /// once.
     pub(super) fn hold_back(&mut self, id: RequestId, out: &mut Actions) {
         let Some(request) = self.requests.pending.get(&id) else { return };
         let crowded = self.crowding > CROWDED_SHARE
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Finds the share of the workers that have no room; those without requests of ours have some.
+    /// Recomputes the share of the workers that have no room. Workers without requests of ours always have
+    /// room.
     pub(super) fn update_crowding(&mut self) {
         let called: BTreeSet<WorkerId> =
             self.requests.attempts.values().map(|attempt| attempt.worker).collect();
--- a/src/policy/backoff.rs
+++ b/src/policy/backoff.rs
@@ -3,14 +3,13 @@
 use super::rendezvous::mix;
 use crate::interface::{Duration, Timestamp};
 
-/// First pause after a failed load, a lost worker or an unreachable zone.
+/// Pause after the first failure: a failed load, a lost worker or an unreachable zone.
 const BASE: Duration = Duration::millis(400);
 /// How often the pause doubles at most.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// When to try again after so many failures before this one. The pause is jittered by a quarter to either
-/// side, by a
-/// hash of the time, so that schedulers do not retry together.
+/// Returns when to try again after `failures` failures before this one. The pause is jittered by up to a
+/// quarter in either direction, by a hash of the time, so that schedulers do not retry together.
 pub fn backoff(now: Timestamp, failures: u32) -> Timestamp {
     now + Duration(BASE.0 << failures.min(MAX_DOUBLINGS))
         .times(0.75 + mix(now.0) as f64 / u64::MAX as f64 / 2.0)
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,28 +1,26 @@
-//! How many of our requests a worker may have in flight, learnt from its answers: additive increase while
-//! they are
-//! in time, multiplicative decrease when they are late or rejected.
+//! Adaptive limit on our requests in flight at one worker (AIMD): additive increase while its answers are in
+//! time, multiplicative decrease when they are late or requests are rejected.
 
 use super::latency::LATENCY_WEIGHT;
 use crate::interface::{Duration, Timestamp};
 
-/// Our requests in flight that a new worker is allowed.
+/// Limit of a new worker, in requests in flight.
 const INITIAL_LIMIT: f64 = 8.0;
-/// Least limit.
+/// Lower bound of the limit.
 const MIN_LIMIT: f64 = 1.0;
-/// Greatest limit.
+/// Upper bound of the limit.
 const MAX_LIMIT: f64 = 64.0;
-/// Growth of the limit for each answer in time.
+/// Increase of the limit for each answer in time.
 const LIMIT_INCREASE: f64 = 0.2;
-/// What a sign of overload leaves of the limit, as a factor.
+/// Factor by which the limit is multiplied on a sign of overload.
 const LIMIT_DECREASE_FACTOR: f64 = 0.85;
-/// Two decreases lie further apart than this.
+/// Minimum time between two decreases.
 const DECREASE_INTERVAL: Duration = Duration::millis(150);
-/// Mean latency, as a share of the latency objective, at which a worker has enough of our requests: one in
-/// seventeen
-/// is then late.
+/// Mean latency, as a share of the latency objective, above which a worker counts as overloaded: about one
+/// request in seventeen is late at this mean.
 const OVERLOAD_STRAIN: f64 = 0.35;
 
-/// The limit of one worker.
+/// The limit of one worker, and the latencies that it follows.
 pub struct ConcurrencyLimit {
     limit: f64,
     /// Moving mean of the latencies of warm requests, as shares of their latency objectives.
@@ -31,24 +29,24 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit of a worker of which nothing is known.
+    /// Creates the limit of a worker without observations.
     pub fn new() -> ConcurrencyLimit {
         ConcurrencyLimit { limit: INITIAL_LIMIT, strain: 0.0, decreased_at: Timestamp(0) }
     }
 
-    /// Whether one more request may go there beside those in flight, for a class whose limit is multiplied
-    /// so.
+    /// Returns whether one more request may be sent beside those in flight, for a class whose limit is
+    /// multiplied by `multiple`.
     pub fn admits(&self, in_flight: u32, multiple: f64) -> bool {
         f64::from(in_flight) + 1.0 <= (self.limit * multiple).max(1.0)
     }
 
-    /// Whether its answers have been in time on the mean.
+    /// Returns whether the mean latency is below the overload threshold.
     pub fn is_unstrained(&self) -> bool {
         self.strain < OVERLOAD_STRAIN
     }
 
-    /// Takes in the latency of a warm request, as a share of its latency objective, and the requests still in
-    /// flight.
+    /// Records the latency of a warm request, as a share of its latency objective, and the number of requests
+    /// still in flight.
     pub fn observe(&mut self, now: Timestamp, latency_share: f64, in_flight: u32) {
         self.strain += (latency_share - self.strain) * LATENCY_WEIGHT;
         // The mean lags behind: an answer that is quick again is no sign of overload.
@@ -59,7 +57,7 @@
         }
     }
 
-    /// Lowers the limit on a sign of overload, unless that was done just before.
+    /// Lowers the limit on a sign of overload, unless it was lowered less than [`DECREASE_INTERVAL`] ago.
     pub fn decrease(&mut self, now: Timestamp) {
         if now - self.decreased_at > DECREASE_INTERVAL {
             self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT);
--- a/src/policy/confirmation.rs
+++ b/src/policy/confirmation.rs
@@ -1,4 +1,5 @@
-//! Requests and loads that wait until a worker has said that it takes work, as the list may be out of date.
+//! Requests and loads that wait until a worker confirms that it takes work, because the list of workers may
+//! be out of date.
 
 use super::lifecycle::PLACEMENT_RETRY_DELAY;
 use super::load_requests::LoadTarget;
@@ -11,25 +12,26 @@
 /// Share of its remaining time that a request waits for one worker's health check.
 const WAIT_SHARE: f64 = 0.25;
 
-/// Least time between two health checks that ask a worker why it rejects.
+/// Minimum time between two health checks of a worker that are caused by its rejections.
 const MIN_REJECTION_CHECK_INTERVAL: Duration = Duration::millis(1000);
 
-/// What waits for one worker's health check.
+/// Requests and loads that wait for one worker's health check.
 #[derive(Default)]
 struct WaitingWork {
-    /// Whether each request expects a warm instance.
+    /// The waiting requests; the value is whether a warm instance is expected.
     requests: BTreeMap<RequestId, bool>,
     loads: BTreeMap<FunctionId, LoadTarget>,
 }
 
-/// What waits for health checks, by worker. Every check ends, and with it what waits for it.
+/// Requests and loads that wait for health checks, by worker. Every health check ends, and is followed by a
+/// call of [`Policy::release_waiting`].
 #[derive(Default)]
 pub struct WaitingForConfirmation {
     workers: BTreeMap<WorkerId, WaitingWork>,
 }
 
 impl Policy {
-    /// Whether a worker may be sent something new, as far as drains are concerned that were not received.
+    /// Returns whether a worker may be sent new work, given that drains may not have been received.
     pub fn is_confirmed(&self, id: WorkerId, now: Timestamp) -> bool {
         if !self.list_validity.governs(id) {
             return true;
@@ -40,17 +42,17 @@
         is_listed || readiness.is_confirmed(now, confirmation_lifetime(&self.settings))
     }
 
-    /// Whether the list is valid by itself, without asking workers.
+    /// Returns whether the list is valid by itself, without health checks of workers.
     pub fn list_is_valid(&self, now: Timestamp) -> bool {
         self.list_validity.is_valid(now)
     }
 
-    /// Whether a worker is known to take no work, or not to be there.
+    /// Returns whether a worker is known to take no work, or to be unreachable.
     pub fn is_away(&self, id: WorkerId) -> bool {
         self.workers.get(id).is_some_and(|worker| worker.readiness.is_away())
     }
 
-    /// Keeps a request until the worker has said whether it takes work.
+    /// Delays a request until the worker has answered whether it takes work.
     pub(super) fn await_confirmation(
         &mut self,
         id: RequestId,
@@ -68,7 +70,7 @@
         self.waiting_work(worker).requests.insert(id, warm);
     }
 
-    /// Keeps a load until the worker has said whether it takes work.
+    /// Delays a load until the worker has answered whether it takes work.
     pub(super) fn await_confirmation_for_load(
         &mut self,
         worker: WorkerId,
@@ -85,7 +87,8 @@
         self.waiting_for_confirmation.workers.entry(worker).or_default()
     }
 
-    /// Asks a worker, unless a health check is under way; whether an answer can be waited for.
+    /// Starts a health check of a worker, unless one is under way. Returns whether an answer can be waited
+    /// for.
     fn begin_confirmation(&mut self, id: WorkerId, out: &mut Actions) -> bool {
         let Some(worker) = self.workers.get_mut(id) else { return false };
         if !self.settings.limits.may_probe {
@@ -99,7 +102,7 @@
         true
     }
 
-    /// Takes in what a health check says of a worker's readiness.
+    /// Updates a worker's readiness by the result of a health check.
     pub(super) fn observe_readiness(&mut self, id: WorkerId, status: Status) {
         let now = self.now;
         let list_is_valid = self.list_is_valid(now);
@@ -120,8 +123,8 @@
         }
     }
 
-    /// A worker has said that it takes work. One that was away is another process now, and may have just
-    /// started.
+    /// Records that a worker takes work. If it was unavailable before, it is a new process now, and may have
+    /// just started.
     fn mark_confirmed(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
         let asked_at = worker.health.check_begun_at;
@@ -134,22 +137,22 @@
         }
     }
 
-    /// Takes in what the end of a request or load says of a worker's readiness, while the list is not valid.
+    /// Updates a worker's readiness by the end of a request or load, while the list is not valid.
     pub(super) fn observe_unlisted_end(&mut self, id: WorkerId, status: Status) {
         if self.list_is_valid(self.now) || !self.list_validity.governs(id) {
             return;
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         match status {
-            // A worker that drains rejects like a full one.
+            // A draining worker rejects in the same way as a full one.
             Status::Full => worker.readiness.mark_doubtful(),
             Status::ConnectFailed => worker.readiness.mark_away(self.now),
             _ => {}
         }
     }
 
-    /// A worker has rejected a request or load: it is full, or it drains and discovery has not told yet. One
-    /// that goes on rejecting is asked.
+    /// Handles the rejection of a request or load: the worker is full, or it drains and discovery has not
+    /// reported that yet. A worker that keeps rejecting gets a health check.
     pub(super) fn ask_why_rejected(&mut self, id: WorkerId, out: &mut Actions) {
         let now = self.now;
         if !self.list_validity.governs(id) || !self.settings.limits.may_probe {
@@ -162,7 +165,8 @@
         }
     }
 
-    /// A health check has ended: what waited for it goes to this worker, or is placed elsewhere.
+    /// Handles the end of a health check: the work that waited for it is sent to this worker, or placed
+    /// elsewhere.
     pub(super) fn release_waiting(&mut self, id: WorkerId, out: &mut Actions) {
         let Some(waiting) = self.waiting_for_confirmation.workers.remove(&id) else { return };
         let confirmed = self.is_confirmed(id, self.now);
@@ -187,7 +191,7 @@
         out: &mut Actions,
     ) {
         let Some(request) = self.requests.pending.get_mut(&id) else { return };
-        // It may wait for another worker by now.
+        // By now it may wait for another worker.
         if request.confirmation_wait.take_if(|wait| wait.worker == worker).is_none() {
             return;
         }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! Which workers are passed by, and which are asked whether they live.
+//! Which workers are skipped as unhealthy, and when workers get health checks.
 
 use super::maintenance::MAINTENANCE_INTERVAL;
 use super::rendezvous::mix;
@@ -8,20 +8,21 @@
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Silence of a worker with [`FULL_PATIENCE_REQUESTS`] in flight until a health check; longer with fewer.
+/// Silence of a worker with [`SHORTEST_SILENCE_REQUESTS`] in flight after which it gets a health check.
 const CHECK_AFTER_SILENCE: Duration = Duration::millis(800);
-/// Requests in flight from which on a worker's silence is not borne longer for their small number.
+/// Number of requests in flight at which the allowed silence is shortest; with fewer it is longer in
+/// proportion.
 const FULL_PATIENCE_REQUESTS: u32 = 3;
 /// Silence after which a worker in our part of the fleet's health checks is checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::millis(1000);
-/// Probability that an overdue request asks for its worker's load report.
+/// Probability that an overdue request causes a health check, which returns its worker's load report.
 const OVERDUE_CHECK_PROBABILITY: f64 = 0.15;
-/// Multiple of the usual latency that an overdue request must have taken for that.
+/// Multiple of the mean latency of its class that an overdue request must have taken to cause a health check.
 const OVERDUE_CHECK_MIN_RATIO: f64 = 2.0;
 /// Multiple of the mean slowness above which a worker is an outlier.
 const SLOWNESS_OUTLIER_FACTOR: f64 = 2.0;
 
-/// A worker that a request may go to.
+/// A worker that a request may be sent to.
 struct Candidate<'a> {
     id: WorkerId,
     worker: &'a Worker,
@@ -29,7 +30,8 @@
 }
 
 impl Policy {
-    /// How many ready workers are passed by now by choice, and have none of our requests in flight.
+    /// Returns how many ready workers are skipped as unhealthy or avoided, and have none of our requests in
+    /// flight.
     pub fn avoided(&self) -> usize {
         let ready = self.workers.iter().filter(|(_, worker)| worker.member.state == State::Ready);
         let healthy: BTreeSet<WorkerId> = self.healthy_workers(ready.clone()).into_iter().collect();
@@ -38,8 +40,8 @@
         ready.filter(|(id, worker)| worker.in_flight == 0 && is_passed_by(id, worker)).count()
     }
 
-    /// Leaves out the ejected, the unreachable and those far slower than the rest, unless more than half
-    /// would be.
+    /// Leaves out workers that are ejected, reported as silent, in an unreachable zone or far slower than the
+    /// rest. If that would leave out more than half, all of them are returned.
     pub(super) fn healthy_workers<'a>(
         &self,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
@@ -67,8 +69,8 @@
             && !is_outlier
     }
 
-    /// Checks workers that are silent while requests are in flight there. The age of those counts in their
-    /// slowness.
+    /// Checks workers that are silent while requests are in flight there. The age of those requests counts in
+    /// the workers' slowness.
     pub(super) fn check_silent_workers(&mut self, out: &mut Actions) {
         let now = self.now;
         let limits = &self.settings.limits;
@@ -106,9 +108,8 @@
         }
     }
 
-    /// What a peer's health check found cancels nothing here: a silent worker is passed by for a while, and
-    /// found lost
-    /// sooner.
+    /// Records the result of a peer's health check. It cancels nothing here: a silent worker is skipped for a
+    /// while, and needs one unanswered check less to be lost.
     pub(super) fn on_peer_health(&mut self, id: WorkerId, answered: bool, at: Timestamp) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         if at > worker.health.last_seen.max(worker.listed_at) {
@@ -116,9 +117,8 @@
         }
     }
 
-    /// A health check has ended. A worker that answers none is lost: its requests are placed elsewhere, as
-    /// their
-    /// classes allow.
+    /// Handles the end of a health check. A worker that leaves too many unanswered is lost: its requests are
+    /// placed elsewhere, if their classes allow it.
     pub(super) fn on_probed(&mut self, id: WorkerId, status: Status, report: &[f32], out: &mut Actions) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.health.check_pending = false;
@@ -134,7 +134,7 @@
             worker.health.mark_alive(now);
             return self.scale_up(id, report, out);
         }
-        // It answers: what it has, it finishes.
+        // It answers, so it finishes the requests that it has.
         if status == Status::Full && self.list_validity.governs(id) {
             return worker.health.mark_alive(now);
         }
@@ -142,7 +142,7 @@
             worker.health.mark_unanswered_check();
         }
         if worker.health.has_too_many_unanswered_checks() {
-            // Its checks start anew.
+            // Reset the count of unanswered checks.
             worker.health.mark_alive(now);
             worker.mark_lost(now);
             self.cancel_repeatable_requests(id, out);
@@ -166,15 +166,15 @@
     }
 }
 
-/// Whether nothing came from a worker for longer than its requests in flight let expect.
+/// Returns whether a worker has been silent for longer than is allowed for its number of requests in flight.
 fn is_silent(worker: &Worker, attempt: &Attempt, now: Timestamp) -> bool {
     let in_flight = worker.in_flight.clamp(1, FULL_PATIENCE_REQUESTS);
     let patience = CHECK_AFTER_SILENCE.times(f64::from(FULL_PATIENCE_REQUESTS) / f64::from(in_flight));
     now - attempt.sent.at.max(worker.health.last_seen) >= patience
 }
 
-/// Whether an attempt has just become overdue and is drawn to ask why; `ratio` is its age against the usual
-/// latency.
+/// Returns whether an attempt became overdue in this round of maintenance and is drawn for a health check;
+/// `ratio` is its age as a multiple of the mean latency.
 fn wants_load_report(attempt: &Attempt, ratio: f64, now: Timestamp) -> bool {
     let overdue_for = now - (attempt.sent.at + attempt.overdue_after());
     overdue_for.0 > 0
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,34 +1,34 @@
-//! Latencies: the usual one of each class, and how slow each worker is against it.
+//! Latencies: the mean of each class, and the slowness of each worker relative to it.
 
 use crate::interface::{Class, Duration, Timestamp};
 
 /// Weight of a new latency in a worker's moving means.
 pub const LATENCY_WEIGHT: f64 = 0.15;
-/// Weight of a new latency in its class's usual latency.
+/// Weight of a new latency in the moving mean of its class.
 const CLASS_LATENCY_WEIGHT: f64 = 0.02;
-/// Least slowness of a worker.
+/// Lower bound of a worker's slowness.
 const MIN_SLOWNESS: f64 = 0.5;
-/// Greatest latency that counts in slowness, as a multiple of the usual one.
+/// Upper bound of a latency that counts in slowness, as a multiple of the class's mean.
 const MAX_SLOWNESS: f64 = 12.0;
-/// Slowness that a request still in flight may add to only if it is beyond this.
+/// Lower bound for a request still in flight to count in slowness, as a multiple of the class's mean.
 const MIN_SLOWNESS_IN_FLIGHT: f64 = MAX_SLOWNESS / 6.0;
 /// Time in which slowness without new latencies halves its distance from 1.
 const SLOWNESS_HALF_LIFE: Duration = Duration::millis(4000);
-/// Usual latency of a new class, as a divisor of its latency objective.
+/// Latency objective divided by the initial mean latency of a class.
 const INITIAL_OBJECTIVE_DIVISOR: f64 = 4.0;
 
-/// The usual latency of each class.
+/// Moving mean of the latencies of each class.
 pub struct ClassLatencies {
     usual_s: Vec<f64>,
 }
 
 impl ClassLatencies {
-    /// First assumptions, from the classes' latency objectives.
+    /// Starts with estimates from the classes' latency objectives.
     pub fn new(classes: &[Class]) -> ClassLatencies {
         ClassLatencies { usual_s: classes.iter().map(initial_latency_s).collect() }
     }
 
-    /// Takes over new classes: those that are the same at their place keep what has been learnt.
+    /// Applies new classes. A class that is equal to the old one at the same index keeps its mean.
     pub fn configure(&mut self, old: &[Class], new: &[Class]) {
         let usual_s = new.iter().enumerate().map(|(place, class)| match old.get(place) {
             Some(known) if known == class => self.usual_s[place],
@@ -37,17 +37,17 @@
         self.usual_s = usual_s.collect();
     }
 
-    /// The usual latency of a class, in seconds.
+    /// The mean latency of a class, in seconds.
     pub fn usual_s(&self, class: usize) -> f64 {
         self.usual_s[class]
     }
 
-    /// Those of all classes, in seconds.
+    /// The mean latencies of all classes, in seconds.
     pub fn all_usual_s(&self) -> &[f64] {
         &self.usual_s
     }
 
-    /// Takes in the latency, in seconds, of a request that a warm instance served.
+    /// Records the latency, in seconds, of a request that a warm instance served.
     pub fn observe(&mut self, class: usize, latency_s: f64) {
         let usual = &mut self.usual_s[class];
         *usual += (latency_s - *usual) * CLASS_LATENCY_WEIGHT;
@@ -58,43 +58,43 @@
     class.latency_objective.secs() / INITIAL_OBJECTIVE_DIVISOR
 }
 
-/// A worker's latency as a multiple of the usual one; without new latencies it decays towards 1.
+/// A worker's latency as a multiple of its classes' means; without new latencies it decays towards 1.
 pub struct Slowness {
     value: f64,
     observed_at: Timestamp,
 }
 
 impl Slowness {
-    /// That of a worker of which nothing is known.
+    /// The slowness of a worker without observations.
     pub fn new() -> Slowness {
         Slowness { value: 1.0, observed_at: Timestamp(0) }
     }
 
-    /// What is left of it by now.
+    /// The decayed value at `now`.
     pub fn at(&self, now: Timestamp) -> f64 {
         1.0 + (self.value - 1.0) * self.remaining_share(now)
     }
 
-    /// Takes in the latency of an ended request, as a multiple of the usual one.
+    /// Records the latency of an ended request, as a multiple of the class's mean.
     pub fn observe(&mut self, now: Timestamp, ratio: f64) {
         self.update(now, ratio, LATENCY_WEIGHT);
     }
 
-    /// Takes in a request that ended without an answer: it would have taken longer than this.
+    /// Records a request that ended without an answer, whose latency would have been at least this multiple.
     pub fn observe_at_least(&mut self, now: Timestamp, ratio: f64) {
         if ratio > self.at(now) {
             self.observe(now, ratio);
         }
     }
 
-    /// Takes in the age of a request that is still in flight, as a multiple of the usual latency.
+    /// Records the age of a request that is still in flight, as a multiple of the class's mean.
     pub fn observe_in_flight(&mut self, now: Timestamp, ratio: f64) {
         if ratio > self.at(now).max(MIN_SLOWNESS_IN_FLIGHT) {
             self.update(now, ratio, 0.0);
         }
     }
 
-    /// The longer no latency was seen, the more a new one weighs.
+    /// Moves the value towards `ratio`. The longer ago the last observation is, the more the new one weighs.
     fn update(&mut self, now: Timestamp, ratio: f64, min_weight: f64) {
         let weight = min_weight.max(1.0 - self.remaining_share(now));
         let current = self.at(now);
@@ -102,7 +102,7 @@
         self.observed_at = now;
     }
 
-    /// Share of what was last observed that counts now.
+    /// Share of the last observation that has not decayed.
     fn remaining_share(&self, now: Timestamp) -> f64 {
         0.5f64.powf((now - self.observed_at).secs() / SLOWNESS_HALF_LIFE.secs())
     }
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its end: accepted, sent, answered, sent again, rejected.
+//! The life of a request: it is accepted, sent, answered, retried or rejected.
 
 use super::latency::ClassLatencies;
 use super::requests::{Attempt, AttemptId, PendingRequest, SentTo};
@@ -6,15 +6,15 @@
 use super::{Actions, Policy, Timer, retry};
 use crate::interface::*;
 
-/// Pause before a request that found no worker is placed again.
+/// Pause before another try to place a request for which no worker was found.
 pub(super) const PLACEMENT_RETRY_DELAY: Duration = Duration::millis(40);
-/// Most time that a client whose request was rejected is asked to wait before the next.
+/// Upper bound of the Retry-After given to a client whose request is rejected.
 const MAX_RETRY_AFTER: Duration = Duration::millis(250);
-/// Least latency objective that a latency is divided by, in seconds.
+/// Lower bound on the latency objective that a latency is divided by, in seconds.
 const MIN_OBJECTIVE_S: f64 = 0.001;
 
 impl Policy {
-    /// Takes in a new request and places it.
+    /// Accepts a new request and places it.
     pub(super) fn on_request(&mut self, call: Request, out: &mut Actions) {
         let class = usize::from(call.class.0);
         self.recent.arrivals.add(self.now);
@@ -42,7 +42,8 @@
         self.place(call.id, out);
     }
 
-    /// The client has left: what is in flight is cancelled, so that it takes no room that others want.
+    /// Drops the request of a client that has left. Its attempt in flight is cancelled to free the capacity
+    /// for other requests.
     pub(super) fn on_client_gone(&mut self, id: RequestId, out: &mut Actions) {
         if let Some(request) = self.requests.pending.remove(&id) {
             self.cancel_in_flight(id, &request, out);
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Places a request again after a pause, if it still waits then.
+    /// Places a request again after a pause, if it is still pending then.
     pub(super) fn place_later(&mut self, id: RequestId, pause: Duration) {
         self.timers.add(self.now + pause, Timer::Place(id));
     }
 
-    /// Sends a request to a worker, if it may be sent there, once the worker is known to take work.
+    /// Sends a request to a worker, if the worker may be sent it and is confirmed to take work.
     pub(super) fn send(&mut self, id: RequestId, worker_id: WorkerId, warm: bool, out: &mut Actions) {
         if !self.may_send(id, worker_id) {
             return self.place_later(id, PLACEMENT_RETRY_DELAY);
@@ -90,8 +91,8 @@
         out.push(Action::Send { id, worker: worker_id, timeout: request.deadline - self.now });
     }
 
-    /// Ends a request unserved, at its deadline or before: refused where the client may send it anew, else
-    /// failed.
+    /// Ends a request that was not served, at its deadline or before: refused if the client may safely retry
+    /// it, failed otherwise.
     pub(super) fn reject(&mut self, id: RequestId, out: &mut Actions) {
         let Some(request) = self.requests.pending.remove(&id) else { return };
         self.cancel_in_flight(id, &request, out);
@@ -105,7 +106,7 @@
         out.push(Action::Refuse { id, wait });
     }
 
-    /// An attempt has ended: the request ends with it, or is placed again.
+    /// Handles the end of an attempt: the request ends with it, or is placed again.
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
     pub(super) fn on_outcome(&mut self, outcome: Outcome, out: &mut Actions) {
         let attempt_id = AttemptId { request: outcome.id, number: outcome.attempt };
@@ -123,7 +124,7 @@
         if !outcome.status.never_ran() && request.first_run.is_none() {
             request.first_run = Some(attempt.sent);
         }
-        // Where it failed it would most likely fail again, and at once.
+        // Another attempt at the same worker would most likely fail the same way.
         if matches!(outcome.status, Status::Miss | Status::Error | Status::Full) {
             request.failed_workers.push(attempt.worker);
         }
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes in what an outcome says of the worker and of the instance there.
+    /// Updates the state of the worker and of its instance by an outcome.
     fn observe_outcome(&mut self, outcome: &Outcome, attempt: &Attempt) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(attempt.worker) else { return };
@@ -158,13 +159,13 @@
                 }
             }
             Status::Miss => instance.mark_missed(now),
-            // No room for an instance, or too many loads: the worker has room for requests.
+            // No memory for an instance, or too many loads: the worker still has room for requests.
             Status::Full if !attempt.warm || worker.limit.is_unstrained() => instance.mark_cold(),
             Status::Full => {
                 worker.health.mark_rejected(now);
                 worker.limit.decrease(now);
             }
-            // A connection may break by itself; what has died shows at the next attempt, which is refused.
+            // A single connection may break while the process lives. If it died, the next attempt is refused.
             Status::Reset => worker.health.broke_at = now,
             Status::ConnectFailed => worker.mark_lost(now),
             Status::Timeout | Status::Cancelled => {
@@ -178,15 +179,14 @@
     }
 }
 
-/// Takes in whether a worker answered, and whether it failed.
+/// Records whether a worker answered, and whether the request failed.
 fn observe_health(worker: &mut Worker, outcome: &Outcome, attempt: &Attempt, now: Timestamp) {
     let status = outcome.status;
     if matches!(status, Status::Ok | Status::Error | Status::Full | Status::Miss) {
         worker.health.mark_alive(now);
     }
-    // A worker that fails at once looks idle and attracts ever more. Where no instance was warm, only a load
-    // may have
-    // failed.
+    // A worker that fails at once looks idle and would attract more and more requests. Where no instance was
+    // warm, it may be just a load that failed.
     let broke = status == Status::Reset && worker.health.is_new_break(now);
     let answered_warm = attempt.warm && matches!(status, Status::Ok | Status::Error);
     if broke || answered_warm {
@@ -194,7 +194,7 @@
     }
 }
 
-/// Takes in the latency of a request that a warm instance served.
+/// Records the latency of a request that a warm instance served.
 fn observe_latency(
     worker: &mut Worker,
     class_latencies: &mut ClassLatencies,
--- a/src/policy/load_requests.rs
+++ b/src/policy/load_requests.rs
@@ -9,22 +9,22 @@
 
 /// How long a request waits for a load before another worker is tried.
 pub const LOAD_WAIT: Duration = Duration::millis(3000);
-/// Load requests of ours that may be under way at a worker, renewals aside.
+/// Upper bound of our load requests under way at one worker, not counting renewals.
 const MAX_LOADS_PER_WORKER: usize = 3;
-/// The same for a bronze function's own load requests.
+/// The same bound for the load request of a bronze function.
 const MAX_LOADS_PER_WORKER_BRONZE: usize = 1;
 
-/// What is requested of a worker.
+/// What a load request asks a worker for.
 #[derive(Clone, Copy)]
 pub struct LoadTarget {
-    /// Instances that are to be warm in all.
+    /// Instances that are to be warm in total.
     pub instances: u8,
-    /// The part of [`Task::Renew`] under which it is requested for a scheduler that is gone.
+    /// The part of [`Task::Renew`] under which the load is requested in place of a scheduler that is gone.
     pub part: Option<u16>,
 }
 
 impl LoadTarget {
-    /// One instance, for this scheduler itself.
+    /// One instance, requested for this scheduler itself.
     pub const FIRST: LoadTarget = LoadTarget { instances: 1, part: None };
 }
 
@@ -35,24 +35,24 @@
     worker: WorkerId,
 }
 
-/// The load requests that have not ended.
+/// The load requests that are under way.
 #[derive(Default)]
 pub struct LoadRequests {
     pending: BTreeSet<Location>,
 }
 
 impl LoadRequests {
-    /// A load was requested.
+    /// Adds a load request.
     pub fn add(&mut self, function: FunctionId, worker: WorkerId) {
         self.pending.insert(Location { function, worker });
     }
 
-    /// A load has ended.
+    /// Removes a load request that has ended.
     pub fn remove(&mut self, function: FunctionId, worker: WorkerId) {
         self.pending.remove(&Location { function, worker });
     }
 
-    /// Where loads of a function are under way.
+    /// The workers at which loads of a function are under way.
     pub fn workers(&self, function: FunctionId) -> impl Iterator<Item = WorkerId> {
         let first = Location { function, worker: WorkerId(0) };
         let last = Location { function, worker: WorkerId(u64::MAX) };
@@ -61,7 +61,7 @@
 }
 
 impl Policy {
-    /// Loads of a function that were requested lately enough to be waited for.
+    /// Number of loads of a function that were requested less than [`LOAD_WAIT`] ago.
     pub(super) fn pending_loads(&self, function: FunctionId) -> usize {
         let instances =
             self.load_requests.workers(function).filter_map(|worker| self.workers.instance(function, worker));
@@ -69,9 +69,9 @@
         requested_at.filter(|at| self.now - *at < LOAD_WAIT).count()
     }
 
-    /// Whether a load may be requested: the worker is ready and within its slow-start budget, no load of the
-    /// function
-    /// is under way there or failed lately, a slot for loads is free, and the rate limit allows one more.
+    /// Returns whether a load may be requested: the worker is ready and within its slow-start budget, no load
+    /// of the function is under way or failed recently there, a load slot is free, and the rate limit allows
+    /// one more.
     pub(super) fn may_load(&self, worker_id: WorkerId, function: FunctionId) -> bool {
         let Some(worker) = self.workers.get(worker_id) else { return false };
         let unknown = InstanceState::default();
@@ -92,7 +92,7 @@
         self.is_within_load_rate_limit()
     }
 
-    /// Whether the rate limit, where there is one, allows one more load request.
+    /// Returns whether the load rate limit, if there is one, allows one more load request.
     fn is_within_load_rate_limit(&self) -> bool {
         let Some(rate_limit) = self.settings.rules.load_rate_limit else { return true };
         let window_start = self.now - rate_limit.span;
@@ -101,7 +101,7 @@
         loads + 1.0 <= rate_limit.free + rate_limit.share * arrivals
     }
 
-    /// Requests a load, if one may be requested, once the worker is known to take work.
+    /// Requests a load, if one is allowed and the worker is confirmed to take work.
     pub(super) fn request_load(
         &mut self,
         worker_id: WorkerId,
@@ -128,7 +128,7 @@
         out.push(Action::Load { worker: worker_id, function, instances, part });
     }
 
-    /// A load has ended: requests that waited for it are placed.
+    /// Handles the end of a load: requests that waited for it are placed.
     pub(super) fn on_loaded(&mut self, loaded: Loaded, out: &mut Actions) {
         self.load_requests.remove(loaded.function, loaded.worker);
         self.observe_load(&loaded);
@@ -145,7 +145,7 @@
         self.place_waiting_for_load(loaded.function, out);
     }
 
-    /// Places the requests that waited for a load of this function.
+    /// Places the requests that wait for a load of this function.
     pub(super) fn place_waiting_for_load(&mut self, function: FunctionId, out: &mut Actions) {
         let waits = |request: &&PendingRequest| request.waits_for_load && request.function == function;
         let pending = self.requests.pending.iter();
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Takes in what the end of a load says of the worker and of the instance there.
+    /// Updates the state of the worker and of its instance by the end of a load.
     fn observe_load(&mut self, loaded: &Loaded) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(loaded.worker) else { return };
@@ -169,7 +169,7 @@
             match loaded.status {
                 Status::Ok => instance.mark_warm(now + self.settings.loading.keep_alive),
                 Status::ConnectFailed => worker.mark_lost(now),
-                // The connection broke, or it was never sent: that says nothing of the load.
+                // The connection broke or the request was never sent, which says nothing about the load.
                 Status::Reset | Status::NotSent => {}
                 _ => {
                     instance.mark_load_failed(now);
--- a/src/policy/maintenance.rs
+++ b/src/policy/maintenance.rs
@@ -1,18 +1,18 @@
-//! What is done at regular intervals.
+//! Periodic maintenance.
 
 use super::{Actions, Policy, Timer};
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Time between two rounds of maintenance: short against any keep-alive.
+/// Time between two rounds of maintenance: short compared to any keep-alive.
 pub(super) const MAINTENANCE_INTERVAL: Duration = Duration::millis(200);
-/// Window of the counts of requests where no load rate limit sets one.
+/// Window in which requests are counted where no load rate limit sets one.
 const DEFAULT_RATE_WINDOW: Duration = Duration::millis(5000);
-/// Share of the accepted requests that count as served, for slow-start budgets, where fewer are.
+/// Lower bound of the served requests assumed for slow-start budgets, as a share of the accepted ones.
 const MIN_SERVED_SHARE: f64 = 0.25;
 
 impl Policy {
-    /// One round.
+    /// Runs one round of maintenance and schedules the next.
     pub(super) fn maintain(&mut self, out: &mut Actions) {
         self.timers.add(self.now + MAINTENANCE_INTERVAL, Timer::Maintenance);
         let rate_window =
@@ -34,7 +34,7 @@
         self.slow_start.refill(self.now, &self.settings.rules, &mut self.workers, served / counted_s);
     }
 
-    /// Ranks the functions, if that is due, and forgets instances that are out of use.
+    /// Ranks the functions if a ranking is due, and forgets idle instances.
     fn rank_functions(&mut self) {
         if !self.popularity.is_ranking_due(self.now) {
             return;
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,4 +1,4 @@
-//! News of the list of workers.
+//! Updates of the list of workers.
 
 use super::token_bucket::TokenBucket;
 use super::workers::Worker;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl Policy {
-    /// Takes in a list, or changes of one.
+    /// Applies a list, or changes of one.
     pub(super) fn on_members(&mut self, kind: ListKind, members: Vec<Member>, out: &mut Actions) {
         if kind == ListKind::Failed {
             out.push(Action::Subscribe);
@@ -35,14 +35,13 @@
         self.insert_process(member);
     }
 
-    /// Lists a new process, of which nothing is known.
+    /// Lists a new process without known state.
     pub(super) fn insert_process(&mut self, member: Member) {
-        // A new process is empty. The schedulers start from random parts of a token, so that all of them
-        // together
-        // send what those parts add up to.
+        // A new process is empty. Each scheduler starts with a random fraction of a token, so that the whole
+        // fleet does not send the sum of rounded-up budgets at once.
         let tokens = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
         let mut worker = Worker::new(member, self.now, TokenBucket::new(tokens, self.now));
-        // An answer to a health check that is under way must not pass for that to a later one.
+        // The answer to a check that is under way must not be taken for the answer to a later one.
         let before = self.workers.get(member.worker).filter(|before| before.health.check_pending);
         if let Some(before) = before.filter(|_| self.list_validity.governs(member.worker)) {
             worker.health.begin_check(before.health.check_begun_at);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,7 @@
-//! The decisions of a scheduler: which worker gets a request, which functions are loaded where.
+//! The decisions of a scheduler: which worker gets a request, and which functions are loaded where.
 //!
-//! [`Policy`] passes each event on to the module whose concern it is. Its types, events, actions and settings
-//! are in
-//! `src/interface.rs`; `docs/design.md` says what of the published design is kept.
+//! [`Policy`] dispatches each event to the module that handles it. Events, actions, settings and the types in
+//! them are in `src/interface.rs`; `docs/design.md` says which parts of the published design are implemented.
 
 mod admission;
 mod backoff;
@@ -48,18 +47,18 @@
 
 type Actions = Vec<Action>;
 
-/// What falls due. Of those of one time, the first variant comes first.
+/// Timers of the policy. Those that are due at the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// A round of maintenance.
     Maintenance,
     /// The deadline of a request.
     Deadline(RequestId),
-    /// A request is placed again.
+    /// Another try to place a request.
     Place(RequestId),
 }
 
-/// The decisions of one scheduler.
+/// The decision logic of one scheduler. It does no I/O: events go in, actions come out.
 pub struct Policy {
     settings: Settings,
     /// This scheduler's parts of the fleet's tasks.
@@ -77,12 +76,12 @@
     unreachable_zones: UnreachableZones,
     list_validity: ListValidity,
     waiting_for_confirmation: WaitingForConfirmation,
-    /// The share of the workers that have no room, as last looked at.
+    /// Share of the workers that had no room at the last round of maintenance.
     crowding: f64,
 }
 
 impl Policy {
-    /// A scheduler that knows nothing but its settings. The seed decides all its ties.
+    /// Creates a policy that knows no workers or functions yet. The seed determines all random choices.
     pub fn new(settings: Settings, seed: u64) -> Policy {
         Policy {
             class_latencies: ClassLatencies::new(&settings.classes),
@@ -104,16 +103,17 @@
         }
     }
 
-    /// New settings. Classes keep their places; another at one of them, or after them, is new.
+    /// Applies new settings. Classes are matched by index: a class that differs from the old one at its index
+    /// is new.
     pub fn configure(&mut self, settings: Settings) {
         self.class_latencies.configure(&self.settings.classes, &settings.classes);
         self.settings = settings;
-        // Which workers are warming up may be another matter now.
+        // The new rules may change which workers are warming up.
         self.slow_start.add_all(self.workers.ids());
         self.workers.set_sizes(self.settings.weights_are_sizes);
     }
 
-    /// Takes in what happened at `now` and appends what is to be done about it.
+    /// Processes an event at time `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.timers.is_empty() {
@@ -135,7 +135,7 @@
         self.run_timers(out);
     }
 
-    /// The first event.
+    /// Starts the periodic timers on the first event.
     fn start(&mut self, out: &mut Actions) {
         self.timers.add(self.now + MAINTENANCE_INTERVAL, Timer::Maintenance);
         self.popularity.start_window(self.now);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Does what is due, and asks to be called when the next is.
+    /// Runs the expired timers, and requests a wake-up for the next one.
     fn run_timers(&mut self, out: &mut Actions) {
         while let Some(due) = self.timers.pop_due(self.now) {
             match due {
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,6 +1,5 @@
-//! Which worker a request is sent to: the first ones in the function's rendezvous order that may be sent it,
-//! a warm
-//! instance before a cold start, the least busy before the others.
+//! Selection of the worker for a request among the first eligible ones in the function's rendezvous order: a
+//! warm instance is preferred to a cold start, then the least busy worker.
 
 use super::lifecycle::PLACEMENT_RETRY_DELAY;
 use super::load_requests::{LOAD_WAIT, LoadTarget};
@@ -9,43 +8,45 @@
 use crate::interface::*;
 use rand_core::RngCore;
 
-/// Workers of the rendezvous order that a request looks at, beyond twice those wanted.
+/// Candidates in rendezvous order that a request considers, beyond twice the wanted instances.
 const EXTRA_CANDIDATES: usize = 12;
-/// The first workers in order at which a request may start a cold instance.
+/// Number of first candidates at which a request may cause a cold start.
 const COLD_START_CANDIDATES: usize = 2;
-/// Workers beyond those wanted at which a load may be requested: loads that find no room must not walk the
-/// fleet.
+/// Candidates beyond the wanted instances at which a load may be requested. The bound keeps loads that find
+/// no room from being tried at one worker after another through the whole fleet.
 const EXTRA_LOAD_CANDIDATES: usize = 2;
-/// Counted requests that are chance, as uneven popularity has it.
+/// Requests subtracted from a function's count: with skewed popularity, so many of the counted ones are due
+/// to chance.
 const CHANCE_REQUESTS: f64 = 0.8;
-/// Seconds that each scheduler adds to the window, as uneven popularity has it.
+/// Seconds added to the counting period for each scheduler of the fleet, likewise because popularity is
+/// skewed.
 const EXTRA_WINDOW_S_PER_SCHEDULER: f64 = 0.02;
-/// Concurrency slots wanted for each request at a time, for bursts, when all workers have room.
+/// Concurrency slots wanted per concurrent request when all workers have room, to absorb bursts.
 const BURST_FACTOR_WITH_ROOM: f64 = 1.5;
 /// The same when no worker has room.
 const BURST_FACTOR_CROWDED: f64 = 0.7;
-/// In-flight requests that crossing a zone weighs as, times its price as a part of one.
+/// Cost of crossing zones, in requests in flight, for a price of 1.
 const CROSS_ZONE_WEIGHT: f64 = 10.0;
-/// In-flight requests that each request beyond the concurrency slots weighs as.
+/// Cost of each request beyond the free concurrency slots, in requests in flight.
 const MISSING_SLOT_WEIGHT: f64 = 2.0;
 
-/// A request that is to be placed.
+/// A request that is being placed.
 struct Placement {
     id: RequestId,
     function: FunctionId,
     class: usize,
     /// Requests that one instance runs at a time.
     concurrency: u32,
-    /// Instances that the function's requests keep busy.
+    /// Instances that the function's requests need.
     instances: usize,
     /// Workers where it failed before.
     failed_workers: Vec<WorkerId>,
-    /// Breaks ties at random.
+    /// Random value that breaks ties.
     salt: u64,
 }
 
 impl Policy {
-    /// Sends a request to a worker, or keeps it until later.
+    /// Sends a request to a worker, delays it or rejects it.
     pub(super) fn place(&mut self, id: RequestId, out: &mut Actions) {
         let salt = self.rng.next_u64();
         let request = self.requests.pending.get_mut(&id);
@@ -87,8 +88,8 @@
         }
     }
 
-    /// The first workers of a function's rendezvous order, which is one at all schedulers, that may be sent a
-    /// request.
+    /// Returns the first eligible workers in a function's rendezvous order, which is the same at all
+    /// schedulers.
     fn able_workers(&mut self, id: RequestId, function_id: FunctionId, wanted: usize) -> Vec<WorkerId> {
         for ranked in [wanted, wanted * 4] {
             let Some(function) = self.popularity.get_mut(function_id) else { return vec![] };
@@ -101,14 +102,14 @@
                 return able;
             }
         }
-        // Few may be sent it, such as those of a cell: they are found sooner by themselves.
+        // Few workers are eligible, such as those of one cell: it is cheaper to filter first and rank those.
         let able = self.workers.ids().filter(|worker| self.may_send(id, *worker));
         self.workers.rendezvous().first(function_id.0, able, wanted)
     }
 
-    /// The candidates where a warm instance is expected. Where a request loads what it lacks, the first ones
-    /// in order
-    /// have an instance for all schedulers, or soon will.
+    /// Returns the candidates where a warm instance is expected. Where a request loads a missing function,
+    /// the first candidates count as warm: requests of all schedulers go there, so they have an instance or
+    /// soon will.
     fn warm_workers(&self, placement: &Placement, candidates: &[WorkerId]) -> Vec<WorkerId> {
         let Placement { function, failed_workers, .. } = placement;
         let shared = match self.settings.loading.on_miss {
@@ -126,8 +127,8 @@
         candidates.iter().copied().filter(is_warm).collect()
     }
 
-    /// Where a bronze function goes: to the first in order that has a free slot, so that few instances stay
-    /// warm.
+    /// Returns the worker for a bronze function: the first in order with a free slot, so that few instances
+    /// are kept warm.
     fn bronze_home(&self, placement: &Placement, warm: &[WorkerId]) -> Option<WorkerId> {
         if !self.popularity.is_bronze(placement.function) {
             return None;
@@ -140,8 +141,8 @@
         self.workers.concurrency_in_use(placement.function, worker) < placement.concurrency
     }
 
-    /// Sends a request to the least busy warm worker; one more instance is loaded where its slots are all in
-    /// use.
+    /// Sends a request to the least busy warm worker. If all its slots are in use, a load at one more worker
+    /// is requested.
     fn send_to_warm(
         &mut self,
         placement: &Placement,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Sends a request to a worker that loads the function while it waits.
+    /// Sends a request to a worker that loads the function while the request waits.
     fn send_to_cold(&mut self, placement: &Placement, candidates: &[WorkerId], out: &mut Actions) {
         let with_free_slot =
             candidates.iter().copied().filter(|worker| self.has_free_slot(placement, *worker));
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Tries a worker of which nothing is known, or has one load the function and keeps the request until
-    /// then.
+    /// Sends a request to a worker that may have an instance, or requests a load at one and delays the
+    /// request until it ends.
     fn find_or_load(&mut self, placement: &Placement, candidates: &[WorkerId], out: &mut Actions) {
         let Placement { id, function, failed_workers, .. } = placement;
         if self.pending_loads(*function) == 0 {
@@ -207,7 +208,8 @@
         self.place_later(*id, LOAD_WAIT);
     }
 
-    /// Instances that a function's requests keep busy, with room for bursts but in a crowd.
+    /// Returns how many instances a function's requests need, with headroom for bursts that shrinks as
+    /// workers run out of room.
     pub(super) fn wanted_instances(&self, function_id: FunctionId, class: usize) -> usize {
         let Some(function) = self.popularity.get(function_id) else { return 1 };
         let fleet = f64::from(self.settings.fleet_size.max(1));
@@ -219,8 +221,8 @@
         (instances.ceil() as usize).max(1)
     }
 
-    /// What a new request would find at a worker: our requests in flight, itself among them, weighed by its
-    /// slowness.
+    /// Returns the cost of sending a request to a worker: our requests in flight including this one, weighted
+    /// by the worker's slowness, plus the price of crossing zones.
     fn load_of(&self, worker: WorkerId) -> f64 {
         let Some(worker) = self.workers.get(worker) else { return f64::INFINITY };
         let is_local = worker.member.zone == self.settings.zone;
@@ -228,7 +230,7 @@
         (f64::from(worker.in_flight) + 1.0) * worker.slowness.at(self.now) + cross_zone * CROSS_ZONE_WEIGHT
     }
 
-    /// The least busy of some workers, one with a free concurrency slot before one without; ties break at
+    /// Returns the least busy worker; one with a free concurrency slot is preferred, and ties are broken at
     /// random.
     fn least_busy(&self, placement: &Placement, workers: &[WorkerId]) -> Option<WorkerId> {
         let missing_slots = |worker: WorkerId| {
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -1,24 +1,24 @@
-//! How often functions are called, counted in a moving window, and the tiers that follow: gold functions are
-//! kept warm
-//! everywhere, silver ones where they are called, bronze ones are called too seldom to be kept.
+//! Popularity of functions: requests are counted in a moving window, and the counts decide the tiers. Gold
+//! functions are kept warm at all workers, silver ones where they are called; bronze ones are called too
+//! seldom to be kept warm.
 
 use super::rendezvous::RankedWorkers;
 use crate::interface::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between two rankings (design page: five of them make the moving window of ten seconds).
+/// Time between two rankings. The design page has a moving window of ten seconds, which is five of them.
 const RANKING_INTERVAL: Duration = Duration::millis(2000);
-/// Buckets of the moving window, one between any two rankings.
+/// Buckets of the moving window; each ranking starts a new one.
 const WINDOW_BUCKETS: usize = 5;
-/// Share of the smallest worker's memory that gold functions may fill (alpha, design page).
+/// Share of the smallest worker's memory that gold functions may fill (alpha on the design page).
 const GOLD_MEMORY_SHARE: f64 = 0.05;
-/// Consecutive rankings on the other side before a function enters or leaves gold (hysteresis).
+/// Consecutive rankings that must agree before a function enters or leaves the gold tier (hysteresis).
 const GOLD_HYSTERESIS_RANKINGS: u8 = 2;
-/// Requests in the window below which a function is bronze (design page).
+/// Requests in the window below which a function is bronze (from the design page).
 const MIN_SILVER_REQUESTS: u32 = 2;
 
-/// A function that is called, or was lately.
+/// A function with recent or pending requests, or in the gold tier.
 #[derive(Default)]
 pub struct Function {
     /// Memory of one instance.
@@ -30,12 +30,12 @@
     /// Requests in each bucket of the window, the current one first.
     counts: [u32; WINDOW_BUCKETS],
     gold: bool,
-    /// Rankings in a row that would have moved it into gold, or out of it.
+    /// Consecutive rankings that would have moved it into the gold tier, or out of it.
     rankings_on_other_side: u8,
 }
 
 impl Function {
-    /// Takes in a request and what it says of the function.
+    /// Counts a request and updates the function's memory and concurrency from it.
     pub fn observe_request(&mut self, memory_mb: f64, concurrency: f64) {
         self.memory_mb = memory_mb.clamp(0.0, 1e12);
         self.concurrency = (concurrency.clamp(1.0, 64.0) as u32).max(1);
@@ -47,7 +47,7 @@
         self.counts.iter().sum()
     }
 
-    /// Moves on to the next bucket, and into gold or out of it once the rankings agree.
+    /// Starts the next bucket, and changes the tier if enough consecutive rankings agree.
     fn finish_ranking(&mut self, ranked_gold: bool) {
         if ranked_gold == self.gold {
             self.rankings_on_other_side = 0;
@@ -63,7 +63,7 @@
     }
 }
 
-/// The functions and the window in which their requests are counted.
+/// The known functions and the window in which their requests are counted.
 #[derive(Default)]
 pub struct Popularity {
     functions: BTreeMap<FunctionId, Function>,
@@ -77,17 +77,17 @@
         self.bucket_starts = [now; WINDOW_BUCKETS];
     }
 
-    /// A function, if it is known.
+    /// Returns a function, if it is known.
     pub fn get(&self, id: FunctionId) -> Option<&Function> {
         self.functions.get(&id)
     }
 
-    /// A function, to be changed, if it is known.
+    /// Returns a function for modification, if it is known.
     pub fn get_mut(&mut self, id: FunctionId) -> Option<&mut Function> {
         self.functions.get_mut(&id)
     }
 
-    /// A function, known from now on.
+    /// Returns a function, and adds it if it is not known.
     pub fn entry(&mut self, id: FunctionId) -> &mut Function {
         self.functions.entry(id).or_default()
     }
@@ -97,28 +97,28 @@
         self.functions.iter().filter(|(_, function)| function.gold).map(|(id, _)| *id).collect()
     }
 
-    /// Whether a function is called too seldom for gold or silver.
+    /// Returns whether a function is called too seldom for the gold or silver tier.
     pub fn is_bronze(&self, id: FunctionId) -> bool {
         self.get(id).is_none_or(|function| !function.gold && function.requests() < MIN_SILVER_REQUESTS)
     }
 
-    /// How far the window reaches back.
+    /// Time from the start of the window until now.
     pub fn window(&self, now: Timestamp) -> Duration {
         now - self.bucket_starts[WINDOW_BUCKETS - 1]
     }
 
-    /// The time over which requests were counted, in seconds: one ranking interval at least.
+    /// Time over which requests were counted, in seconds: at least one ranking interval.
     pub fn counted_s(&self, now: Timestamp) -> f64 {
         self.window(now).secs().max(RANKING_INTERVAL.secs())
     }
 
-    /// Whether the current bucket is full.
+    /// Returns whether the current bucket has lasted for a ranking interval.
     pub fn is_ranking_due(&self, now: Timestamp) -> bool {
         now - self.bucket_starts[0] >= RANKING_INTERVAL
     }
 
-    /// Ranks the functions by their requests, starts the next bucket and forgets what is neither called nor
-    /// in use.
+    /// Ranks the functions by their requests, starts the next bucket and forgets functions that are neither
+    /// gold, called nor in use.
     pub fn rank(&mut self, now: Timestamp, worker_memory_mb: &[f64], in_use: &BTreeSet<FunctionId>) {
         self.bucket_starts.rotate_right(1);
         self.bucket_starts[0] = now;
@@ -129,7 +129,7 @@
         self.functions.retain(|id, function| function.gold || function.requests() > 0 || in_use.contains(id));
     }
 
-    /// The most called functions that fit into the memory for gold ones.
+    /// Returns the most called functions that fit into the memory for gold functions.
     fn most_called(&self, worker_memory_mb: &[f64]) -> BTreeSet<FunctionId> {
         let called = self.functions.iter().filter(|(_, function)| function.requests() >= MIN_SILVER_REQUESTS);
         let mut ranking: Vec<_> = called.map(|(id, function)| (Reverse(function.requests()), *id)).collect();
--- a/src/policy/recent.rs
+++ b/src/policy/recent.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// The times of one kind of event, the earliest first.
+/// Times of one kind of event, the earliest first.
 #[derive(Default)]
 pub struct Times(VecDeque<Timestamp>);
 
@@ -13,30 +13,30 @@
         self.0.push_back(at);
     }
 
-    /// How many events are remembered.
+    /// Number of remembered events.
     pub fn count(&self) -> f64 {
         self.0.len() as f64
     }
 
-    /// How many events were at a time that passes.
+    /// Number of remembered events whose time satisfies a predicate.
     pub fn count_if(&self, passes: impl Fn(Timestamp) -> bool) -> f64 {
         self.0.iter().filter(|at| passes(**at)).count() as f64
     }
 }
 
-/// What a scheduler counts in a moving window.
+/// Events that a scheduler counts in a moving window.
 #[derive(Default)]
 pub struct Recent {
-    /// Its load requests.
+    /// Load requests sent.
     pub loads: Times,
-    /// Requests that came in.
+    /// Requests accepted.
     pub arrivals: Times,
-    /// Requests that were served.
+    /// Requests served.
     pub served: Times,
 }
 
 impl Recent {
-    /// Forgets what happened longer ago than a span.
+    /// Forgets events older than `span`.
     pub fn forget(&mut self, now: Timestamp, span: Duration) {
         for times in [&mut self.loads, &mut self.arrivals, &mut self.served] {
             times.0.retain(|at| *at >= now - span);
--- a/src/policy/rendezvous.rs
+++ b/src/policy/rendezvous.rs
@@ -1,41 +1,39 @@
-//! The workers of a list in weighted rendezvous order, for any number of keys.
+//! Weighted rendezvous hashing: the order of the listed workers for each key.
 //!
-//! A worker's score for a key is `-ln(unit) / size`, where `unit` is drawn from `(0, 1]` by a hash of both:
-//! all
-//! schedulers with the same list compute the same order, least score first, then least id, and a change of
-//! one worker
-//! moves no other. [`RankedWorkers`] caches a prefix of the order for one key: all workers up to some score.
-//! It is
-//! found without sorting the rest, and is updated by the workers that changed.
+//! A worker's score for a key is `-ln(unit) / size`, where `unit` is a hash of both, mapped to `(0, 1]`.
+//! Workers are ordered by ascending score, then by id. All schedulers with the same list compute the same
+//! order, and a change of one worker moves no other. [`RankedWorkers`] caches a prefix of the order for one
+//! key: all workers up to some score. It is computed without sorting the other workers, and is updated by the
+//! workers that changed.
 
 use crate::interface::WorkerId;
 use std::cmp::Ordering;
 use std::collections::{HashMap, VecDeque};
 
-/// Changes of the list that are remembered: applying as many costs about as much as scoring 16,000 workers.
+/// Number of remembered changes of the list: applying that many costs about as much as scoring 16,000
+/// workers.
 const MAX_REMEMBERED_CHANGES: usize = 256;
 /// Cost of applying one change to a cached order, in scored workers.
 const CHANGE_COST: usize = 64;
-/// A cached order is computed anew once it has this many times the workers that it was computed for, as the
-/// list has
-/// grown.
+/// A cached order that has grown with the list to this multiple of the workers that it was computed for is
+/// computed anew.
 const MAX_GROWTH: usize = 4;
 /// Relative margin of the cheap test of a score against a bound: far above any rounding error.
 const ROUNDING_MARGIN: f64 = 1e-9;
-/// Number of units into which a hash divides the range from 0 to 1.
+/// Number of values that a hash is mapped to between 0 and 1.
 const UNITS: f64 = (1u64 << 53) as f64;
 
-/// Workers with their sizes.
+/// The listed workers with their sizes.
 #[derive(Default)]
 pub struct Rendezvous {
     entries: Vec<Entry>,
-    /// Where each worker is in `entries`.
+    /// Index of each worker in `entries`.
     places: HashMap<WorkerId, usize>,
     /// Sum of all sizes.
     total_size: f64,
-    /// The largest size that there has been.
+    /// The largest size ever set.
     largest_size: f64,
-    /// The workers changed last, the latest at the end.
+    /// The last changed workers, the latest at the end.
     changed: VecDeque<WorkerId>,
     /// Number of changes so far.
     version: u64,
@@ -60,7 +58,7 @@
     bound: f64,
     /// Number of workers expected within the bound.
     expected: usize,
-    /// The version of the list that this is the order of.
+    /// Version of the list for which the order is valid.
     version: u64,
 }
 
@@ -70,7 +68,7 @@
         self.ranked.iter().map(|ranked| ranked.worker)
     }
 
-    /// How many there are.
+    /// Number of workers in the prefix.
     pub fn len(&self) -> usize {
         self.ranked.len()
     }
@@ -95,7 +93,7 @@
         self.record_change(worker);
     }
 
-    /// Takes a worker off the list.
+    /// Removes a worker from the list.
     pub fn remove(&mut self, worker: WorkerId) {
         let Some(place) = self.places.remove(&worker) else { return };
         self.total_size -= self.entries.swap_remove(place).size;
@@ -105,7 +103,7 @@
         self.record_change(worker);
     }
 
-    /// Takes all but these off the list.
+    /// Removes all workers that do not satisfy a predicate.
     pub fn retain(&mut self, keeps: impl Fn(&WorkerId) -> bool) {
         let workers = self.entries.iter().map(|entry| entry.worker);
         let others: Vec<WorkerId> = workers.filter(|worker| !keeps(worker)).collect();
@@ -122,7 +120,7 @@
         }
     }
 
-    /// How many workers are listed.
+    /// Number of listed workers.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -132,8 +130,8 @@
         self.entries.iter().map(|entry| entry.worker)
     }
 
-    /// Updates the order of a key to the present list, with at least so many workers in it, or all that there
-    /// are.
+    /// Updates the order of a key to the current list, with at least `wanted` workers in it, or all if there
+    /// are fewer.
     pub fn update(&self, key: u64, order: &mut RankedWorkers, wanted: usize) {
         let wanted = wanted.min(self.entries.len());
         let outgrown = order.len() > MAX_GROWTH * order.expected.max(wanted);
@@ -143,7 +141,8 @@
         order.version = self.version;
         order.expected = wanted;
         loop {
-            // Twice as many as are wanted: some cannot be sent to, and a bound lets through more or fewer.
+            // Twice the wanted number, as some are not eligible and the number of workers within a bound
+            // varies.
             order.expected *= 2;
             let all = order.expected * 2 >= self.entries.len();
             order.bound = if all { f64::INFINITY } else { order.expected as f64 / self.total_size };
@@ -154,7 +153,8 @@
         }
     }
 
-    /// Applies the changes since to an order, if they are remembered and few; whether it is up to date then.
+    /// Applies the changes since its version to an order, if they are remembered and few. Returns whether the
+    /// order is up to date then.
     fn apply_changes(&self, key: u64, order: &mut RankedWorkers) -> bool {
         let changes = (self.version - order.version) as usize;
         if changes > self.changed.len() || changes * CHANGE_COST > self.entries.len() {
@@ -173,7 +173,7 @@
         true
     }
 
-    /// All workers whose score is within the bound, in order.
+    /// Returns all workers whose score is within the bound, in order.
     fn ranked_within(&self, key: u64, bound: f64) -> Vec<ScoredWorker> {
         // As -ln(x) >= 1 - x, no worker within the bound fails this cheaper test.
         let max_distance_per_size = bound * UNITS * (1.0 + ROUNDING_MARGIN);
@@ -190,7 +190,8 @@
         ranked
     }
 
-    /// The first `count` of these workers in the order of a key; those not listed are left out.
+    /// Returns the first `count` of the given workers in the order of a key, without those that are not
+    /// listed.
     pub fn first(
         &self,
         key: u64,
@@ -209,7 +210,7 @@
 }
 
 impl Entry {
-    /// The worker with its score for a key.
+    /// Computes the worker's score for a key.
     fn score(&self, key: u64) -> ScoredWorker {
         let unit = ((mix(key ^ self.id_hash) >> 11) as f64 + 1.0) / UNITS;
         ScoredWorker { score: -unit.ln() / self.size, worker: self.worker }
@@ -226,7 +227,7 @@
     }
 }
 
-/// A 64-bit finalizer: the same hash at every scheduler.
+/// Mixes the bits of a 64-bit value (a hash finalizer). All schedulers must use the same function.
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/policy/rendezvous/tests.rs
+++ b/src/policy/rendezvous/tests.rs
@@ -1,10 +1,11 @@
-//! The order against a full sort of the whole list, as the module once made it for each function.
+//! Tests the cached order against a full sort of the whole list, as an earlier version computed it for each
+//! function.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// The whole order: every worker scored and all of them sorted.
+/// Returns the whole order: every worker is scored and all are sorted.
 fn full_sort(key: u64, list: &BTreeMap<u64, f64>) -> Vec<WorkerId> {
     let mut order: Vec<(f64, WorkerId)> = Vec::with_capacity(list.len());
     for (id, size) in list {
@@ -15,7 +16,7 @@
     order.into_iter().map(|(_, id)| id).collect()
 }
 
-/// Undoes [`mix`], so that a test can place workers where it likes.
+/// Inverse of [`mix`], so that a test can choose the unit that a worker hashes to.
 fn unmix(mut x: u64) -> u64 {
     let unshift = |x: u64, by: u32| (0..64 / by + 1).fold(x, |y, _| x ^ (y >> by));
     x = unshift(x, 31).wrapping_mul(0x3196_42b2_d24d_8ec3);
@@ -23,12 +24,12 @@
     unshift(x, 30)
 }
 
-/// The id of a worker whose hash with this key leads to this unit, of 2^53.
+/// Returns the id of a worker whose hash with this key gives this unit, out of 2^53.
 fn at_unit(key: u64, unit: u64, low: u64) -> u64 {
     unmix(unmix(unit << 11 | low & 0x7ff) ^ key)
 }
 
-/// A size, and a unit whose score with it rounds to the same float as the next one's.
+/// A size for which there are two adjacent units whose scores round to the same float.
 const ROUNDS: f64 = 1.29;
 
 fn rounds_as_the_next() -> u64 {
@@ -49,7 +50,8 @@
     prop_oneof![4 => Just(1.0), 2 => 0.01..100.0f64, 1 => Just(0.01), 1 => Just(100.0), 2 => Just(ROUNDS)]
 }
 
-/// Ids that are drawn freely, few, or chosen so that their scores for key 5 lie a hair apart or are equal.
+/// Ids that are drawn from all values, drawn from a small range, or chosen so that their scores for key 5 are
+/// equal or very close.
 fn ids() -> impl Strategy<Value = u64> {
     let rounds = rounds_as_the_next();
     let close = (0..4u64, 0..3u64).prop_map(|(unit, low)| at_unit(5, (1 << 53) - 3 + unit % 3, low));
@@ -71,9 +73,8 @@
 proptest! {
     #![proptest_config(crate::drawn())]
 
-    /// Whatever happens to the list between two requests, an order that is kept is a beginning of the full
-    /// sort, as long
-    /// as is asked for.
+    /// Whatever happens to the list between two requests, a cached order is a prefix of the full sort, and at
+    /// least as long as was asked for.
     #[test]
     fn a_kept_order_begins_as_the_full_sort_does(steps in steps()) {
         let (mut list, mut rendezvous) = (BTreeMap::new(), Rendezvous::default());
@@ -106,8 +107,7 @@
         }
     }
 
-    /// The first of any workers that were filtered out of the list are those that the filter leaves of the
-    /// full sort.
+    /// The first workers of a filtered list are the first of the filtered full sort.
     #[test]
     fn the_first_of_some_are_those_of_the_full_sort(
         list in proptest::collection::btree_map(ids(), sizes(), 0..300),
@@ -125,7 +125,7 @@
     }
 }
 
-/// Guards that the drawn ids do lie where they should.
+/// Checks that the chosen ids hash to the wanted units.
 #[test]
 fn workers_can_be_placed_a_hair_apart() {
     for unit in [0, 1, rounds_as_the_next(), (1 << 53) - 1] {
@@ -133,8 +133,8 @@
     }
 }
 
-/// Two scores that round to one float go by id, also where only one of the two would be within a bound by its
-/// hash.
+/// Two workers whose scores round to one float are ordered by id, even if only one of them would be within a
+/// bound by its hash.
 #[test]
 fn equal_scores_go_by_id() {
     let (unit, mut list, mut rendezvous) = (rounds_as_the_next(), BTreeMap::new(), Rendezvous::default());
@@ -152,7 +152,8 @@
     }
 }
 
-/// A large list: what is kept for a function stays small, and one change does not void it.
+/// With a large list, the order that is cached for a function stays small, and one change does not invalidate
+/// it.
 #[test]
 fn what_is_kept_stays_small() {
     let mut rendezvous = Rendezvous::default();
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,15 +1,15 @@
-//! The requests that clients wait for, and their attempts that are in flight.
+//! Requests that clients wait for, and their attempts in flight.
 
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// Share of its latency objective after which a request in flight is overdue.
+/// Share of its latency objective after which an attempt in flight is overdue.
 const OVERDUE_SHARE: f64 = 0.35;
 
 /// When and where an attempt was sent.
 #[derive(Clone, Copy)]
 pub struct SentTo {
-    /// When.
+    /// When it was sent.
     pub at: Timestamp,
     /// The worker's zone.
     pub zone: ZoneId,
@@ -20,9 +20,9 @@
 /// The worker for whose health check a request waits.
 #[derive(Clone, Copy)]
 pub struct ConfirmationWait {
-    /// Which worker.
+    /// The worker.
     pub worker: WorkerId,
-    /// When the request is placed elsewhere at the latest.
+    /// When the request is placed elsewhere, if the health check has not ended before.
     pub until: Timestamp,
 }
 
@@ -30,17 +30,17 @@
 pub struct PendingRequest {
     /// The function called.
     pub function: FunctionId,
-    /// Its class.
+    /// Its class, as an index into the settings.
     pub class: usize,
-    /// When it came in.
+    /// When it arrived.
     pub arrived_at: Timestamp,
-    /// The class's, never later than the client's own patience.
+    /// The latency objective of its class, or the client's remaining time if that is shorter.
     pub latency_objective: Duration,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Timestamp,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u16,
-    /// The attempt that is in flight.
+    /// The attempt in flight, if there is one.
     pub attempt_in_flight: Option<u16>,
     /// The first attempt that may have run.
     pub first_run: Option<SentTo>,
@@ -52,33 +52,33 @@
     pub failed_workers: Vec<WorkerId>,
 }
 
-/// An attempt by its request and number.
+/// Identifies an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Attempts of a request are numbered from 0.
+    /// Number of the attempt; attempts of a request are numbered from 0.
     pub number: u16,
 }
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 pub struct Attempt {
-    /// Where it was sent.
+    /// The worker that it was sent to.
     pub worker: WorkerId,
     /// The function called.
     pub function: FunctionId,
-    /// Its class.
+    /// Its class, as an index into the settings.
     pub class: usize,
     /// When and where it was sent.
     pub sent: SentTo,
-    /// That of its request.
+    /// The latency objective of its request.
     pub latency_objective: Duration,
     /// Whether a warm instance was expected.
     pub warm: bool,
 }
 
 impl Attempt {
-    /// Age at which it is overdue: it may wait for a concurrency slot.
+    /// Age at which it is overdue, and may be waiting for a concurrency slot.
     pub fn overdue_after(&self) -> Duration {
         self.latency_objective.times(OVERDUE_SHARE)
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -3,7 +3,7 @@
 use super::requests::SentTo;
 use crate::interface::*;
 
-/// Whether a request may be sent again whose first attempt that may have run was sent at that time.
+/// Returns whether a request may be sent again, given when its first attempt that may have run was sent.
 pub fn may_repeat(effect: Effect, first_sent_at: Timestamp, now: Timestamp) -> bool {
     match effect {
         Effect::Safe => true,
@@ -12,7 +12,8 @@
     }
 }
 
-/// Whether a worker drops the repeat of a request that may have run at the first one, where it must.
+/// Returns whether a worker is in the group that drops repeats of a request that may have run, if its class
+/// needs that.
 pub fn is_in_group(effect: Effect, first_run: SentTo, member: &Member) -> bool {
     match effect {
         Effect::Keyed { group: Group::Zone, .. } => member.zone == first_run.zone,
@@ -21,7 +22,7 @@
     }
 }
 
-/// Whether the time is over in which workers drop repeats of a keyed request.
+/// Returns whether the window is over in which workers drop repeats of a keyed request.
 pub fn is_window_over(effect: Effect, first_run: Option<SentTo>, now: Timestamp) -> bool {
     match (first_run, effect) {
         (Some(first_run), Effect::Keyed { window, .. }) => now + DEDUP_WINDOW_MARGIN >= first_run.at + window,
@@ -29,7 +30,7 @@
     }
 }
 
-/// Whether the client may send its request anew once it is refused.
+/// Returns whether the client may safely retry a request that is refused.
 pub fn may_client_retry(effect: Effect, may_have_run: bool) -> bool {
     match effect {
         Effect::Safe => true,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,21 +1,22 @@
-//! Slow start: what workers that started lately may be sent, so that all schedulers together do not overload
+//! Slow start: limits what recently started workers are sent, so that all schedulers together do not overload
 //! them.
 
 use super::workers::{Worker, Workers};
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Whether a worker started so lately that it is still warming up.
+/// Returns whether a worker is still warming up after its start.
 pub fn is_warming_up(member: &Member, rules: &Rules, now: Timestamp) -> bool {
     member.started.is_some_and(|started| now - started < rules.cold_span)
 }
 
-/// Whether a worker may be sent one more request or load: it is warm, or its budget holds a token.
+/// Returns whether a worker may be sent one more request or load: it has warmed up, or its budget holds a
+/// token.
 pub fn has_budget(worker: &Worker, rules: &Rules, now: Timestamp) -> bool {
     !is_warming_up(&worker.member, rules, now) || worker.slow_start.has_token()
 }
 
-/// The share of its capacity that a worker has by now, as the rules have it.
+/// Returns the share of its capacity that a worker is assumed to have, by the rules.
 fn capacity_share(member: &Member, rules: &Rules, now: Timestamp) -> f64 {
     let started = member.started.filter(|started| now - *started < rules.cold_span);
     let age = started.map_or(1.0, |started| (now - started).secs() / rules.cold_span.secs());
@@ -29,19 +30,18 @@
 }
 
 impl SlowStart {
-    /// A worker that may be warming up.
+    /// Adds a worker that may be warming up.
     pub fn add(&mut self, worker: WorkerId) {
         self.warming_up.insert(worker);
     }
 
-    /// More of them.
+    /// Adds several workers that may be warming up.
     pub fn add_all(&mut self, workers: impl Iterator<Item = WorkerId>) {
         self.warming_up.extend(workers);
     }
 
-    /// Refills the budgets by what a warm worker serves of this scheduler's requests. An overload does not
-    /// raise
-    /// what is served, so the budgets of all schedulers add up to no more than a worker's own.
+    /// Refills the budgets by the rate at which a warm worker serves this scheduler's requests. An overload
+    /// does not raise that rate, so the budgets of all schedulers add up to no more than one worker's own.
     pub fn refill(&mut self, now: Timestamp, rules: &Rules, workers: &mut Workers, served_per_s: f64) {
         if self.warming_up.is_empty() {
             return;
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,4 +1,4 @@
-//! The parts of the decisions by themselves.
+//! Unit tests of the parts of the policy.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::latency::{ClassLatencies, Slowness};
--- a/src/policy/timer_queue.rs
+++ b/src/policy/timer_queue.rs
@@ -1,19 +1,19 @@
-//! A queue of timers, and the wake-up that was last asked for.
+//! A queue of timers, and the last requested wake-up.
 
 use crate::interface::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
-/// A timer; they are ordered by time, then by what they are for.
+/// A queued timer; ordered by time, then by timer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry<T> {
     at: Timestamp,
     timer: T,
 }
 
-/// Timers by the time at which they are due.
+/// Timers ordered by the time when they are due.
 pub struct TimerQueue<T> {
     entries: BTreeSet<Entry<T>>,
-    /// The earliest wake-up that is asked for and has not come.
+    /// The earliest wake-up that was requested and has not arrived.
     armed: Option<Timestamp>,
 }
 
@@ -24,30 +24,30 @@
 }
 
 impl<T: Copy + Ord> TimerQueue<T> {
-    /// Adds a timer. One that is queued for the same time already is not added again.
+    /// Adds a timer. A timer that is already queued for the same time is not added again.
     pub fn add(&mut self, at: Timestamp, timer: T) {
         self.entries.insert(Entry { at, timer });
     }
 
-    /// Whether no timer is queued.
+    /// Returns whether no timer is queued.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes out the earliest timer, if it is due by now.
+    /// Removes and returns the earliest timer, if it is due at `now`.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<T> {
         let entry = *self.entries.first().filter(|entry| entry.at <= now)?;
         self.entries.remove(&entry);
         Some(entry.timer)
     }
 
-    /// A wake-up has come.
+    /// Records that the requested wake-up has arrived.
     pub fn fired(&mut self) {
         self.armed = None;
     }
 
-    /// After what time a wake-up is needed, if that is before the one already asked for. It counts as asked
-    /// for then.
+    /// Returns how long after `now` a wake-up is needed, if that is earlier than the one already requested,
+    /// and records it as requested.
     pub fn next_wakeup(&mut self, now: Timestamp) -> Option<Duration> {
         let next = self.entries.first()?.at;
         if self.armed.is_some_and(|armed| next >= armed) {
--- a/src/policy/unreachable_zones.rs
+++ b/src/policy/unreachable_zones.rs
@@ -1,4 +1,4 @@
-//! Zones that cannot be reached as a whole: their workers are not tried one by one.
+//! Zones that are unreachable as a whole. Their workers are not tried one by one.
 
 use super::backoff::backoff;
 use super::requests::Attempt;
@@ -6,58 +6,57 @@
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests in flight for longer than this count as unanswered by their zone.
+/// Age from which a request in flight counts as unanswered.
 const UNANSWERED_AFTER: Duration = Duration::millis(400);
-/// Unanswered requests and broken connections, in a zone of which nothing came since, that make it
-/// unreachable.
+/// Number of unanswered requests and broken connections since a zone was last seen that makes it unreachable.
 const MIN_UNANSWERED: usize = 2;
-/// Failures that a newly unreachable zone starts with, for its backoff.
+/// Number of failures with which the backoff of a newly unreachable zone starts.
 const INITIAL_FAILURES: u32 = 2;
 
-/// A zone without a sign of life.
+/// A zone from which nothing has been received since some time.
 struct UnreachableZone {
     since: Timestamp,
-    /// Until when it is passed by.
+    /// Until when the zone is skipped.
     until: Timestamp,
     failures: u32,
 }
 
-/// What the workers of a zone let know.
+/// Signs of life of a zone, over all its workers.
 #[derive(Default)]
 struct ZoneActivity {
     last_seen: Timestamp,
-    /// Requests and connections without an answer since.
+    /// Requests and connections without an answer since `last_seen`.
     unanswered: usize,
 }
 
-/// Something without an answer: a request that is long in flight, or a broken connection.
+/// A request that has been in flight for long, or a broken connection.
 struct Unanswered {
     zone: ZoneId,
     at: Timestamp,
 }
 
-/// The zones that cannot be reached now.
+/// The currently unreachable zones.
 #[derive(Default)]
 pub struct UnreachableZones {
     zones: BTreeMap<ZoneId, UnreachableZone>,
-    /// Workers whose connection broke and of which nothing came since, as last looked at.
+    /// Workers whose connection broke and that were not seen since, as of the last update.
     broken_workers: BTreeSet<WorkerId>,
 }
 
 impl UnreachableZones {
-    /// Whether workers of a zone are to be passed by.
+    /// Returns whether workers of a zone are to be skipped.
     pub fn contains(&self, zone: ZoneId, now: Timestamp) -> bool {
         self.zones.get(&zone).is_some_and(|unreachable| unreachable.until > now)
     }
 
-    /// Notes a worker whose connection broke at this moment.
+    /// Records a worker whose connection broke at `now`.
     pub fn note_break(&mut self, worker: &Worker, now: Timestamp) {
         if worker.health.broke_at == now {
             self.broken_workers.insert(worker.member.worker);
         }
     }
 
-    /// Finds which zones are unreachable by now; never one that is the only zone.
+    /// Updates which zones are unreachable. The only zone of a fleet never is.
     pub fn update<'a>(
         &mut self,
         now: Timestamp,
