--- a/src/core/outcomes.rs
+++ b/src/core/outcomes.rs
@@ -150,7 +150,7 @@
     /// Counts, and possibly logs, a probe that was answered by a worker that is listed as ready but rejects new work.
     fn record_rejected_probe(&mut self, worker: WorkerId) {
         self.counters.probes_rejected += 1;
-        if self.list_watch.is_unconfirmed() && !self.policy.is_away(worker) {
+        if self.list_watch.is_unconfirmed() && !self.policy.is_unavailable(worker) {
             tracing::warn!(worker = %format_args!("s-{:08x}", worker.0), "worker rejects new work");
         }
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,12 +11,12 @@
 /// limits of workers are multiplied by the same figure for a class with priority.
 const PRIORITY_ADVANTAGE: f64 = 1.5;
 /// Lower bound on the mean latency that a class's priority weight is divided by, in seconds.
-const MIN_USUAL_LATENCY_S: f64 = 0.001;
+const MIN_MEAN_LATENCY_S: f64 = 0.001;
 /// Share of the workers without room above which waiting requests are shed.
-const CROWDED_SHARE: f64 = 0.5;
+const SHEDDING_SATURATION: f64 = 0.5;
 /// Share of its latency objective that a request may wait for room while the fleet is saturated. After a
 /// longer wait, its execution and a queue at the worker would make it late.
-const CROWDED_WAIT_SHARE: f64 = 0.2;
+const SATURATED_WAIT_SHARE: f64 = 0.2;
 /// Share of the time until its deadline after which a request that has found no room is rejected.
 const MAX_WAIT_SHARE: f64 = 0.4;
 
@@ -49,26 +49,26 @@
 
     /// Returns whether a class's priority weight per second of work is clearly above that of another class.
     fn has_priority(&self, class: usize) -> bool {
-        let usual_s = self.class_latencies.all_usual_s();
-        let worth_per_s = |class: usize| {
-            self.settings.classes[class].priority_weight / usual_s[class].max(MIN_USUAL_LATENCY_S)
+        let means_s = self.class_latencies.means_s();
+        let weight_per_s = |class: usize| {
+            self.settings.classes[class].priority_weight / means_s[class].max(MIN_MEAN_LATENCY_S)
         };
-        (0..usual_s.len()).any(|other| worth_per_s(class) > worth_per_s(other) * PRIORITY_ADVANTAGE)
+        (0..means_s.len()).any(|other| weight_per_s(class) > weight_per_s(other) * PRIORITY_ADVANTAGE)
     }
 
     /// Delays a request for which no worker has room: sending it on would only lengthen the queues at workers
     /// and prolong an overload. A request that would end late because the fleet is saturated is rejected at
     /// once.
-    pub(super) fn hold_back(&mut self, id: RequestId, out: &mut Actions) {
+    pub(super) fn delay_or_reject(&mut self, id: RequestId, out: &mut Actions) {
         let Some(request) = self.requests.pending.get(&id) else { return };
-        let crowded = self.crowding > CROWDED_SHARE
-            && self.now > request.arrived_at + request.latency_objective.times(CROWDED_WAIT_SHARE);
+        let saturated = self.saturation > SHEDDING_SATURATION
+            && self.now > request.arrived_at + request.latency_objective.times(SATURATED_WAIT_SHARE);
         let effect = self.settings.classes[request.class].effect;
         let window_over = retry::is_window_over(effect, request.first_run, self.now);
-        let patience = (request.deadline - request.arrived_at).times(MAX_WAIT_SHARE);
+        let max_wait = (request.deadline - request.arrived_at).times(MAX_WAIT_SHARE);
         // No attempt can finish in time any more, or none is allowed: reject now so that the client can back
         // off.
-        if crowded || window_over || self.now > request.arrived_at + patience {
+        if saturated || window_over || self.now > request.arrived_at + max_wait {
             self.reject(id, out);
         } else {
             self.place_later(id, PLACEMENT_RETRY_DELAY);
@@ -77,12 +77,12 @@
 
     /// Recomputes the share of the workers that have no room. Workers without requests of ours always have
     /// room.
-    pub(super) fn update_crowding(&mut self) {
+    pub(super) fn update_saturation(&mut self) {
         let called: BTreeSet<WorkerId> =
             self.requests.attempts.values().map(|attempt| attempt.worker).collect();
         let is_full =
             |worker: &&WorkerId| self.workers.get(**worker).is_some() && !self.has_room(**worker, 0);
         let full = called.iter().filter(is_full).count();
-        self.crowding = full as f64 / self.workers.len().max(1) as f64;
+        self.saturation = full as f64 / self.workers.len().max(1) as f64;
     }
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -18,20 +18,20 @@
 const DECREASE_INTERVAL: Duration = Duration::millis(150);
 /// Mean latency, as a share of the latency objective, above which a worker counts as overloaded: about one
 /// request in seventeen is late at this mean.
-const OVERLOAD_STRAIN: f64 = 0.35;
+const OVERLOAD_LATENCY_SHARE: f64 = 0.35;
 
 /// The limit of one worker, and the latencies that it follows.
 pub struct ConcurrencyLimit {
     limit: f64,
     /// Moving mean of the latencies of warm requests, as shares of their latency objectives.
-    strain: f64,
+    mean_latency_share: f64,
     decreased_at: Timestamp,
 }
 
 impl ConcurrencyLimit {
     /// Creates the limit of a worker without observations.
     pub fn new() -> ConcurrencyLimit {
-        ConcurrencyLimit { limit: INITIAL_LIMIT, strain: 0.0, decreased_at: Timestamp(0) }
+        ConcurrencyLimit { limit: INITIAL_LIMIT, mean_latency_share: 0.0, decreased_at: Timestamp(0) }
     }
 
     /// Returns whether one more request may be sent beside those in flight, for a class whose limit is
@@ -41,16 +41,16 @@
     }
 
     /// Returns whether the mean latency is below the overload threshold.
-    pub fn is_unstrained(&self) -> bool {
-        self.strain < OVERLOAD_STRAIN
+    pub fn is_latency_low(&self) -> bool {
+        self.mean_latency_share < OVERLOAD_LATENCY_SHARE
     }
 
     /// Records the latency of a warm request, as a share of its latency objective, and the number of requests
     /// still in flight.
     pub fn observe(&mut self, now: Timestamp, latency_share: f64, in_flight: u32) {
-        self.strain += (latency_share - self.strain) * LATENCY_WEIGHT;
+        self.mean_latency_share += (latency_share - self.mean_latency_share) * LATENCY_WEIGHT;
         // The mean lags behind: an answer that is quick again is no sign of overload.
-        if self.strain > OVERLOAD_STRAIN && latency_share > OVERLOAD_STRAIN {
+        if self.mean_latency_share > OVERLOAD_LATENCY_SHARE && latency_share > OVERLOAD_LATENCY_SHARE {
             self.decrease(now);
         } else if f64::from(in_flight) + 2.0 >= self.limit {
             self.limit = (self.limit + LIMIT_INCREASE).min(MAX_LIMIT);
--- a/src/policy/confirmation.rs
+++ b/src/policy/confirmation.rs
@@ -23,8 +23,8 @@
     loads: BTreeMap<FunctionId, LoadTarget>,
 }
 
-/// Requests and loads that wait for health checks, by worker. Every health check ends, and is followed by a
-/// call of [`Policy::release_waiting`].
+/// Requests and loads that wait for health checks, by worker. Every health check ends, and its end releases
+/// what waits for it.
 #[derive(Default)]
 pub struct WaitingForConfirmation {
     workers: BTreeMap<WorkerId, WaitingWork>,
@@ -33,12 +33,12 @@
 impl Policy {
     /// Returns whether a worker may be sent new work, given that drains may not have been received.
     pub fn is_confirmed(&self, id: WorkerId, now: Timestamp) -> bool {
-        if !self.list_validity.governs(id) {
+        if !self.list_validity.applies_to(id) {
             return true;
         }
         let Some(worker) = self.workers.get(id) else { return false };
         let readiness = &worker.readiness;
-        let is_listed = self.list_validity.is_valid(now) && !readiness.is_away();
+        let is_listed = self.list_validity.is_valid(now) && !readiness.is_unavailable();
         is_listed || readiness.is_confirmed(now, confirmation_lifetime(&self.settings))
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// Returns whether a worker is known to take no work, or to be unreachable.
-    pub fn is_away(&self, id: WorkerId) -> bool {
-        self.workers.get(id).is_some_and(|worker| worker.readiness.is_away())
+    pub fn is_unavailable(&self, id: WorkerId) -> bool {
+        self.workers.get(id).is_some_and(|worker| worker.readiness.is_unavailable())
     }
 
     /// Delays a request until the worker has answered whether it takes work.
@@ -106,14 +106,14 @@
     pub(super) fn observe_readiness(&mut self, id: WorkerId, status: Status) {
         let now = self.now;
         let list_is_valid = self.list_is_valid(now);
-        if !self.list_validity.governs(id) {
+        if !self.list_validity.applies_to(id) {
             return;
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         match status {
             Status::Ok => self.mark_confirmed(id),
-            Status::Full => worker.readiness.mark_away(now),
-            Status::ConnectFailed if !list_is_valid => worker.readiness.mark_away(now),
+            Status::Full => worker.readiness.mark_unavailable(now),
+            Status::ConnectFailed if !list_is_valid => worker.readiness.mark_unavailable(now),
             _ => {}
         }
         if !self.is_confirmed(id, now)
@@ -127,40 +127,40 @@
     /// just started.
     fn mark_confirmed(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
-        let asked_at = worker.health.check_begun_at;
-        if worker.readiness.is_away() {
+        let check_begun_at = worker.health.check_begun_at;
+        if worker.readiness.is_unavailable() {
             let member = Member { started: Some(self.now), ..worker.member };
             self.insert_process(member);
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.readiness.confirm(asked_at);
+            worker.readiness.confirm(check_begun_at);
         }
     }
 
     /// Updates a worker's readiness by the end of a request or load, while the list is not valid.
-    pub(super) fn observe_unlisted_end(&mut self, id: WorkerId, status: Status) {
-        if self.list_is_valid(self.now) || !self.list_validity.governs(id) {
+    pub(super) fn observe_end_with_invalid_list(&mut self, id: WorkerId, status: Status) {
+        if self.list_is_valid(self.now) || !self.list_validity.applies_to(id) {
             return;
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
         match status {
             // A draining worker rejects in the same way as a full one.
-            Status::Full => worker.readiness.mark_doubtful(),
-            Status::ConnectFailed => worker.readiness.mark_away(self.now),
+            Status::Full => worker.readiness.clear_confirmation(),
+            Status::ConnectFailed => worker.readiness.mark_unavailable(self.now),
             _ => {}
         }
     }
 
     /// Handles the rejection of a request or load: the worker is full, or it drains and discovery has not
     /// reported that yet. A worker that keeps rejecting gets a health check.
-    pub(super) fn ask_why_rejected(&mut self, id: WorkerId, out: &mut Actions) {
+    pub(super) fn check_after_rejection(&mut self, id: WorkerId, out: &mut Actions) {
         let now = self.now;
-        if !self.list_validity.governs(id) || !self.settings.limits.may_probe {
+        if !self.list_validity.applies_to(id) || !self.settings.limits.may_probe {
             return;
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let asked_lately = now - worker.health.check_begun_at < MIN_REJECTION_CHECK_INTERVAL;
-        if worker.readiness.note_rejection() && !asked_lately {
+        let checked_recently = now - worker.health.check_begun_at < MIN_REJECTION_CHECK_INTERVAL;
+        if worker.readiness.record_rejection() && !checked_recently {
             self.begin_confirmation(id, out);
         }
     }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeSet;
 
 /// Silence of a worker with [`SHORTEST_SILENCE_REQUESTS`] in flight after which it gets a health check.
-const CHECK_AFTER_SILENCE: Duration = Duration::millis(800);
+const MIN_SILENCE_BEFORE_CHECK: Duration = Duration::millis(800);
 /// Number of requests in flight at which the allowed silence is shortest; with fewer it is longer in
 /// proportion.
-const FULL_PATIENCE_REQUESTS: u32 = 3;
+const SHORTEST_SILENCE_REQUESTS: u32 = 3;
 /// Silence after which a worker in our part of the fleet's health checks is checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::millis(1000);
 /// Probability that an overdue request causes a health check, which returns its worker's load report.
@@ -35,9 +35,9 @@
     pub fn avoided(&self) -> usize {
         let ready = self.workers.iter().filter(|(_, worker)| worker.member.state == State::Ready);
         let healthy: BTreeSet<WorkerId> = self.healthy_workers(ready.clone()).into_iter().collect();
-        let is_passed_by =
+        let is_skipped =
             |id: &WorkerId, worker: &Worker| !healthy.contains(id) || worker.readiness.is_avoided(self.now);
-        ready.filter(|(id, worker)| worker.in_flight == 0 && is_passed_by(id, worker)).count()
+        ready.filter(|(id, worker)| worker.in_flight == 0 && is_skipped(id, worker)).count()
     }
 
     /// Leaves out workers that are ejected, reported as silent, in an unreachable zone or far slower than the
@@ -77,11 +77,11 @@
         for attempt in self.requests.attempts.values() {
             let worker = self.workers.get_mut(attempt.worker);
             let Some(worker) = worker.filter(|worker| attempt.sent.at >= worker.listed_at) else { continue };
-            let ratio = (now - attempt.sent.at).secs() / self.class_latencies.usual_s(attempt.class);
+            let ratio = (now - attempt.sent.at).secs() / self.class_latencies.mean_s(attempt.class);
             worker.slowness.observe_in_flight(now, ratio);
             let is_silent = limits.may_cancel && is_silent(worker, attempt, now);
-            let wants_report = wants_load_report(attempt, ratio, now);
-            if limits.may_probe && (is_silent || wants_report) && !worker.health.check_pending {
+            let needs_report = needs_load_report(attempt, ratio, now);
+            if limits.may_probe && (is_silent || needs_report) && !worker.health.check_pending {
                 worker.health.begin_check(now);
                 out.push(Action::Probe { worker: attempt.worker, part: None });
             }
@@ -135,7 +135,7 @@
             return self.scale_up(id, report, out);
         }
         // It answers, so it finishes the requests that it has.
-        if status == Status::Full && self.list_validity.governs(id) {
+        if status == Status::Full && self.list_validity.applies_to(id) {
             return worker.health.mark_alive(now);
         }
         if status != Status::NotSent {
@@ -168,14 +168,15 @@
 
 /// Returns whether a worker has been silent for longer than is allowed for its number of requests in flight.
 fn is_silent(worker: &Worker, attempt: &Attempt, now: Timestamp) -> bool {
-    let in_flight = worker.in_flight.clamp(1, FULL_PATIENCE_REQUESTS);
-    let patience = CHECK_AFTER_SILENCE.times(f64::from(FULL_PATIENCE_REQUESTS) / f64::from(in_flight));
-    now - attempt.sent.at.max(worker.health.last_seen) >= patience
+    let in_flight = worker.in_flight.clamp(1, SHORTEST_SILENCE_REQUESTS);
+    let allowed_silence =
+        MIN_SILENCE_BEFORE_CHECK.times(f64::from(SHORTEST_SILENCE_REQUESTS) / f64::from(in_flight));
+    now - attempt.sent.at.max(worker.health.last_seen) >= allowed_silence
 }
 
 /// Returns whether an attempt became overdue in this round of maintenance and is drawn for a health check;
 /// `ratio` is its age as a multiple of the mean latency.
-fn wants_load_report(attempt: &Attempt, ratio: f64, now: Timestamp) -> bool {
+fn needs_load_report(attempt: &Attempt, ratio: f64, now: Timestamp) -> bool {
     let overdue_for = now - (attempt.sent.at + attempt.overdue_after());
     overdue_for.0 > 0
         && overdue_for <= MAINTENANCE_INTERVAL
--- a/src/policy/instance.rs
+++ b/src/policy/instance.rs
@@ -36,11 +36,11 @@
 impl InstanceState {
     /// Returns whether a warm instance is expected.
     pub fn is_warm(&self, now: Timestamp) -> bool {
-        (self.warm_until > now || self.in_flight > 0) && !self.missed_lately(now)
+        (self.warm_until > now || self.in_flight > 0) && !self.missed_recently(now)
     }
 
     /// Returns whether the worker answered within [`MISS_LIFETIME`] that it has no instance.
-    pub fn missed_lately(&self, now: Timestamp) -> bool {
+    pub fn missed_recently(&self, now: Timestamp) -> bool {
         self.missed_at.is_some_and(|at| now - at < MISS_LIFETIME)
     }
 
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -19,38 +19,38 @@
 
 /// Moving mean of the latencies of each class.
 pub struct ClassLatencies {
-    usual_s: Vec<f64>,
+    means_s: Vec<f64>,
 }
 
 impl ClassLatencies {
     /// Starts with estimates from the classes' latency objectives.
     pub fn new(classes: &[Class]) -> ClassLatencies {
-        ClassLatencies { usual_s: classes.iter().map(initial_latency_s).collect() }
+        ClassLatencies { means_s: classes.iter().map(initial_latency_s).collect() }
     }
 
     /// Applies new classes. A class that is equal to the old one at the same index keeps its mean.
     pub fn configure(&mut self, old: &[Class], new: &[Class]) {
-        let usual_s = new.iter().enumerate().map(|(place, class)| match old.get(place) {
-            Some(known) if known == class => self.usual_s[place],
+        let means_s = new.iter().enumerate().map(|(index, class)| match old.get(index) {
+            Some(known) if known == class => self.means_s[index],
             _ => initial_latency_s(class),
         });
-        self.usual_s = usual_s.collect();
+        self.means_s = means_s.collect();
     }
 
     /// The mean latency of a class, in seconds.
-    pub fn usual_s(&self, class: usize) -> f64 {
-        self.usual_s[class]
+    pub fn mean_s(&self, class: usize) -> f64 {
+        self.means_s[class]
     }
 
     /// The mean latencies of all classes, in seconds.
-    pub fn all_usual_s(&self) -> &[f64] {
-        &self.usual_s
+    pub fn means_s(&self) -> &[f64] {
+        &self.means_s
     }
 
     /// Records the latency, in seconds, of a request that a warm instance served.
     pub fn observe(&mut self, class: usize, latency_s: f64) {
-        let usual = &mut self.usual_s[class];
-        *usual += (latency_s - *usual) * CLASS_LATENCY_WEIGHT;
+        let mean = &mut self.means_s[class];
+        *mean += (latency_s - *mean) * CLASS_LATENCY_WEIGHT;
     }
 }
 
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -15,20 +15,20 @@
 
 impl Policy {
     /// Accepts a new request and places it.
-    pub(super) fn on_request(&mut self, call: Request, out: &mut Actions) {
-        let class = usize::from(call.class.0);
+    pub(super) fn on_request(&mut self, request: Request, out: &mut Actions) {
+        let class = usize::from(request.class.0);
         self.recent.arrivals.add(self.now);
         if class >= self.settings.classes.len() {
-            out.push(Action::Fail { id: call.id });
+            out.push(Action::Fail { id: request.id });
             return;
         }
-        self.popularity.entry(call.function).observe_request(call.memory_mb, call.concurrency);
-        let deadline = self.now + call.remaining;
-        let request = PendingRequest {
-            function: call.function,
+        self.popularity.entry(request.function).observe_request(request.memory_mb, request.concurrency);
+        let deadline = self.now + request.remaining;
+        let pending = PendingRequest {
+            function: request.function,
             class,
             arrived_at: self.now,
-            latency_objective: self.settings.classes[class].latency_objective.min(call.remaining),
+            latency_objective: self.settings.classes[class].latency_objective.min(request.remaining),
             deadline,
             attempts: 0,
             attempt_in_flight: None,
@@ -37,9 +37,9 @@
             confirmation_wait: None,
             failed_workers: Vec::new(),
         };
-        self.requests.pending.insert(call.id, request);
-        self.timers.add(deadline - self.settings.tick, Timer::Deadline(call.id));
-        self.place(call.id, out);
+        self.requests.pending.insert(request.id, pending);
+        self.timers.add(deadline - self.settings.tick, Timer::Deadline(request.id));
+        self.place(request.id, out);
     }
 
     /// Drops the request of a client that has left. Its attempt in flight is cancelled to free the capacity
@@ -102,7 +102,7 @@
             out.push(Action::Fail { id });
             return;
         }
-        let wait = self.settings.limits.retry_after.map_or(Duration(0), |most| most.min(MAX_RETRY_AFTER));
+        let wait = self.settings.limits.retry_after.map_or(Duration(0), |limit| limit.min(MAX_RETRY_AFTER));
         out.push(Action::Refuse { id, wait });
     }
 
@@ -113,7 +113,7 @@
         let Some(attempt) = self.requests.attempts.remove(&attempt_id) else { return };
         self.observe_outcome(&outcome, &attempt);
         if outcome.status == Status::Full {
-            self.ask_why_rejected(attempt.worker, out);
+            self.check_after_rejection(attempt.worker, out);
         }
         if outcome.finished {
             self.requests.pending.remove(&outcome.id);
@@ -159,8 +159,8 @@
                 }
             }
             Status::Miss => instance.mark_missed(now),
-            // No memory for an instance, or too many loads: the worker still has room for requests.
-            Status::Full if !attempt.warm || worker.limit.is_unstrained() => instance.mark_cold(),
+            // No room for an instance, or too many loads: the worker still has room for requests.
+            Status::Full if !attempt.warm || worker.limit.is_latency_low() => instance.mark_cold(),
             Status::Full => {
                 worker.health.mark_rejected(now);
                 worker.limit.decrease(now);
@@ -169,13 +169,13 @@
             Status::Reset => worker.health.broke_at = now,
             Status::ConnectFailed => worker.mark_lost(now),
             Status::Timeout | Status::Cancelled => {
-                let usual_s = self.class_latencies.usual_s(attempt.class);
-                worker.slowness.observe_at_least(now, outcome.latency.secs() / usual_s);
+                let mean_s = self.class_latencies.mean_s(attempt.class);
+                worker.slowness.observe_at_least(now, outcome.latency.secs() / mean_s);
             }
             Status::Error | Status::NotSent => {}
         }
-        self.unreachable_zones.note_break(worker, now);
-        self.observe_unlisted_end(attempt.worker, outcome.status);
+        self.unreachable_zones.record_break(worker, now);
+        self.observe_end_with_invalid_list(attempt.worker, outcome.status);
     }
 }
 
@@ -204,7 +204,7 @@
 ) {
     let latency_s = outcome.latency.secs();
     let objective_s = attempt.latency_objective.secs().max(MIN_OBJECTIVE_S);
-    worker.slowness.observe(now, latency_s / class_latencies.usual_s(attempt.class));
+    worker.slowness.observe(now, latency_s / class_latencies.mean_s(attempt.class));
     class_latencies.observe(attempt.class, latency_s);
     worker.limit.observe(now, (latency_s / objective_s).min(1.0), worker.in_flight);
 }
--- a/src/policy/load_requests.rs
+++ b/src/policy/load_requests.rs
@@ -25,7 +25,7 @@
 
 impl LoadTarget {
     /// One instance, requested for this scheduler itself.
-    pub const FIRST: LoadTarget = LoadTarget { instances: 1, part: None };
+    pub const ONE_INSTANCE: LoadTarget = LoadTarget { instances: 1, part: None };
 }
 
 /// A function at a worker.
@@ -82,11 +82,11 @@
             MAX_LOADS_PER_WORKER
         };
         let has_slot = instance.warm_until > self.now || worker.pending_loads(self.now) < max_loads;
-        let is_able = worker.member.state == State::Ready
+        let is_eligible = worker.member.state == State::Ready
             && !worker.readiness.is_avoided(self.now)
             && self.settings.limits.may_load
             && has_budget(worker, &self.settings.rules, self.now);
-        if !is_able || instance.load_requested_at.is_some() || instance.retry_at > self.now || !has_slot {
+        if !is_eligible || instance.load_requested_at.is_some() || instance.retry_at > self.now || !has_slot {
             return false;
         }
         self.is_within_load_rate_limit()
@@ -133,7 +133,7 @@
         self.load_requests.remove(loaded.function, loaded.worker);
         self.observe_load(&loaded);
         if loaded.status == Status::Full {
-            self.ask_why_rejected(loaded.worker, out);
+            self.check_after_rejection(loaded.worker, out);
         }
         if loaded.status == Status::Ok {
             for request in self.requests.pending.values_mut() {
@@ -179,7 +179,7 @@
                 }
             }
         }
-        self.unreachable_zones.note_break(worker, now);
-        self.observe_unlisted_end(loaded.worker, loaded.status);
+        self.unreachable_zones.record_break(worker, now);
+        self.observe_end_with_invalid_list(loaded.worker, loaded.status);
     }
 }
--- a/src/policy/maintenance.rs
+++ b/src/policy/maintenance.rs
@@ -18,7 +18,7 @@
         let rate_window =
             self.settings.rules.load_rate_limit.map_or(DEFAULT_RATE_WINDOW, |rate_limit| rate_limit.span);
         self.recent.forget(self.now, rate_window);
-        self.update_crowding();
+        self.update_saturation();
         self.refill_slow_start(rate_window);
         self.rank_functions();
         self.check_silent_workers(out);
@@ -30,8 +30,8 @@
     fn refill_slow_start(&mut self, rate_window: Duration) {
         let accepted = self.recent.arrivals.count();
         let served = self.recent.served.count().max(accepted * MIN_SERVED_SHARE);
-        let counted_s = self.popularity.window(self.now).secs().clamp(1.0, rate_window.secs().max(1.0));
-        self.slow_start.refill(self.now, &self.settings.rules, &mut self.workers, served / counted_s);
+        let period_s = self.popularity.window(self.now).secs().clamp(1.0, rate_window.secs().max(1.0));
+        self.slow_start.refill(self.now, &self.settings.rules, &mut self.workers, served / period_s);
     }
 
     /// Ranks the functions if a ranking is due, and forgets idle instances.
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -38,12 +38,12 @@
     /// Lists a new process without known state.
     pub(super) fn insert_process(&mut self, member: Member) {
         // A new process is empty. Each scheduler starts with a random fraction of a token, so that the whole
-        // fleet does not send the sum of rounded-up budgets at once.
+        // fleet together sends what these fractions add up to.
         let tokens = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
         let mut worker = Worker::new(member, self.now, TokenBucket::new(tokens, self.now));
         // The answer to a check that is under way must not be taken for the answer to a later one.
         let before = self.workers.get(member.worker).filter(|before| before.health.check_pending);
-        if let Some(before) = before.filter(|_| self.list_validity.governs(member.worker)) {
+        if let Some(before) = before.filter(|_| self.list_validity.applies_to(member.worker)) {
             worker.health.begin_check(before.health.check_begun_at);
         }
         self.workers.insert(worker);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -38,7 +38,7 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use readiness::ListValidity;
-use recent::Recent;
+use recent::RecentEvents;
 use requests::Requests;
 use slow_start::SlowStart;
 use timer_queue::TimerQueue;
@@ -71,13 +71,13 @@
     requests: Requests,
     load_requests: LoadRequests,
     class_latencies: ClassLatencies,
-    recent: Recent,
+    recent: RecentEvents,
     slow_start: SlowStart,
     unreachable_zones: UnreachableZones,
     list_validity: ListValidity,
     waiting_for_confirmation: WaitingForConfirmation,
     /// Share of the workers that had no room at the last round of maintenance.
-    crowding: f64,
+    saturation: f64,
 }
 
 impl Policy {
@@ -94,12 +94,12 @@
             popularity: Popularity::default(),
             requests: Requests::default(),
             load_requests: LoadRequests::default(),
-            recent: Recent::default(),
+            recent: RecentEvents::default(),
             slow_start: SlowStart::default(),
             unreachable_zones: UnreachableZones::default(),
             list_validity: ListValidity::default(),
             waiting_for_confirmation: WaitingForConfirmation::default(),
-            crowding: 0.0,
+            saturation: 0.0,
         }
     }
 
@@ -130,7 +130,7 @@
             Event::Shares(shares) => self.shares = shares,
             Event::ListSource(source) => self.list_validity.observe(self.now, source, &self.settings),
             Event::PeerHealth(worker, answered, at) => self.on_peer_health(worker, answered, at),
-            Event::Timeout => self.timers.fired(),
+            Event::Timeout => self.timers.wakeup_arrived(),
         }
         self.run_timers(out);
     }
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -18,7 +18,7 @@
 /// Requests in the window below which a function is bronze (from the design page).
 const MIN_SILVER_REQUESTS: u32 = 2;
 
-/// A function with recent or pending requests, or in the gold tier.
+/// A function that is called, or was called recently.
 #[derive(Default)]
 pub struct Function {
     /// Memory of one instance.
@@ -31,7 +31,7 @@
     counts: [u32; WINDOW_BUCKETS],
     gold: bool,
     /// Consecutive rankings that would have moved it into the gold tier, or out of it.
-    rankings_on_other_side: u8,
+    consecutive_opposite_rankings: u8,
 }
 
 impl Function {
@@ -50,13 +50,13 @@
     /// Starts the next bucket, and changes the tier if enough consecutive rankings agree.
     fn finish_ranking(&mut self, ranked_gold: bool) {
         if ranked_gold == self.gold {
-            self.rankings_on_other_side = 0;
+            self.consecutive_opposite_rankings = 0;
         } else {
-            self.rankings_on_other_side += 1;
+            self.consecutive_opposite_rankings += 1;
         }
-        if self.rankings_on_other_side >= GOLD_HYSTERESIS_RANKINGS {
+        if self.consecutive_opposite_rankings >= GOLD_HYSTERESIS_RANKINGS {
             self.gold = !self.gold;
-            self.rankings_on_other_side = 0;
+            self.consecutive_opposite_rankings = 0;
         }
         self.counts.rotate_right(1);
         self.counts[0] = 0;
@@ -108,7 +108,7 @@
     }
 
     /// Time over which requests were counted, in seconds: at least one ranking interval.
-    pub fn counted_s(&self, now: Timestamp) -> f64 {
+    pub fn counting_period_s(&self, now: Timestamp) -> f64 {
         self.window(now).secs().max(RANKING_INTERVAL.secs())
     }
 
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -23,9 +23,9 @@
     pub(super) fn on_wanted(&mut self, function: FunctionId, memory_mb: f64, out: &mut Actions) {
         self.popularity.entry(function).memory_mb = memory_mb;
         let healthy = self.healthy_workers(self.workers.iter());
-        let Some(home) = self.workers.rendezvous().first(function.0, healthy, 1).pop() else { return };
-        if !self.workers.is_warm(function, home, self.now) {
-            self.request_load(home, function, LoadTarget::FIRST, out);
+        let Some(worker) = self.workers.rendezvous().first(function.0, healthy, 1).pop() else { return };
+        if !self.workers.is_warm(function, worker, self.now) {
+            self.request_load(worker, function, LoadTarget::ONE_INSTANCE, out);
         }
     }
 
@@ -41,29 +41,31 @@
     }
 
     /// Returns the index of the scheduler that keeps a function warm at a worker.
-    fn keeper(&self, function: FunctionId, worker: WorkerId) -> u32 {
+    fn renewing_scheduler(&self, function: FunctionId, worker: WorkerId) -> u32 {
         let fleet = u64::from(self.settings.fleet_size.max(1));
         (mix(function.0.rotate_left(32) ^ worker.0) % fleet) as u32
     }
 
     /// Returns the workers, in rendezvous order, whose keep-alives are ours to renew and end by `due_before`.
     fn keep_alives_due(&self, function: FunctionId, due_before: Timestamp) -> Vec<WorkerId> {
-        let is_ours =
-            |keeper: u32| keeper == self.settings.index || self.shares.stand_in_part(keeper).is_some();
+        let is_ours = |scheduler: u32| {
+            scheduler == self.settings.index || self.shares.stand_in_part(scheduler).is_some()
+        };
         let is_due = |worker: WorkerId| {
             self.workers.get(worker).is_some_and(|worker| {
                 !worker.health.is_ejected(self.now) && worker.warm_until(function) <= due_before
             })
         };
         let rendezvous = self.workers.rendezvous();
-        let due =
-            rendezvous.workers().filter(|worker| is_ours(self.keeper(function, *worker)) && is_due(*worker));
+        let due = rendezvous
+            .workers()
+            .filter(|worker| is_ours(self.renewing_scheduler(function, *worker)) && is_due(*worker));
         rendezvous.first(function.0, due, usize::MAX)
     }
 
     fn renew_keep_alive(&mut self, function: FunctionId, worker_id: WorkerId, out: &mut Actions) {
         let Some(worker) = self.workers.get(worker_id) else { return };
-        let part = self.shares.stand_in_part(self.keeper(function, worker_id));
+        let part = self.shares.stand_in_part(self.renewing_scheduler(function, worker_id));
         // Where no instance is warm this is a load. One at a time for each worker and function keeps either
         // from being flooded with loads.
         let is_renewal = worker.warm_until(function) > self.now;
--- a/src/policy/readiness.rs
+++ b/src/policy/readiness.rs
@@ -11,16 +11,16 @@
 
 /// Share of the drain grace for which an answer is valid, from the time when the worker was asked. The rest
 /// covers the way of a message to the worker and delays of the event loop.
-const CONFIRMED_SHARE: f64 = 0.8;
+const CONFIRMATION_LIFETIME_SHARE: f64 = 0.8;
 /// Lower bound of the time for which an answer is valid: half of the tolerance that the platform adds to
 /// every limit.
-const MIN_CONFIRMED: Duration = Duration::millis(25);
+const MIN_CONFIRMATION_LIFETIME: Duration = Duration::millis(25);
 /// Time after which a change of the list counts as received at the latest, by the protocol. Where no health
 /// checks are allowed, answers are valid for this much longer.
-const RECEIVED_AT_THE_LATEST: Duration = Duration::millis(7000);
+const MAX_LIST_CHANGE_DELAY: Duration = Duration::millis(7000);
 /// Consecutive rejections after which a worker gets a health check even while the list is valid. A full
 /// worker accepts some requests between those that it rejects.
-const REJECTIONS_UNTIL_ASKED: u32 = 3;
+const REJECTIONS_BEFORE_CHECK: u32 = 3;
 /// Minimum time before a worker that takes no work, or does not answer, is checked again.
 const RECHECK_INTERVAL: Duration = Duration::millis(1000);
 
@@ -31,7 +31,7 @@
     confirmed_at: Option<Timestamp>,
     /// Whether the worker has said since that it takes no work, or could not be reached. If it comes back, it
     /// is a new process.
-    away: bool,
+    unavailable: bool,
     /// The worker is sent nothing before this time.
     avoided_until: Timestamp,
     /// Requests and loads that it rejected since it last accepted one, or was last checked because of
@@ -46,27 +46,27 @@
     }
 
     /// Returns whether the worker takes no work, or is unreachable.
-    pub fn is_away(&self) -> bool {
-        self.away
+    pub fn is_unavailable(&self) -> bool {
+        self.unavailable
     }
 
     /// Returns whether the worker has shown within `lifetime` that it takes work.
     pub fn is_confirmed(&self, now: Timestamp, lifetime: Duration) -> bool {
-        !self.away && self.confirmed_at.is_some_and(|at| now <= at + lifetime)
+        !self.unavailable && self.confirmed_at.is_some_and(|at| now <= at + lifetime)
     }
 
     /// Records that the worker accepted work, or said that it does, in answer to a message sent at `sent_at`.
     pub fn confirm(&mut self, sent_at: Timestamp) {
-        if !self.away {
+        if !self.unavailable {
             self.confirmed_at = self.confirmed_at.max(Some(sent_at));
             self.rejections = 0;
         }
     }
 
     /// Records the rejection of a request or load. Returns whether the worker should get a health check.
-    pub fn note_rejection(&mut self) -> bool {
+    pub fn record_rejection(&mut self) -> bool {
         self.rejections += 1;
-        if self.rejections < REJECTIONS_UNTIL_ASKED {
+        if self.rejections < REJECTIONS_BEFORE_CHECK {
             return false;
         }
         self.rejections = 0;
@@ -74,14 +74,14 @@
     }
 
     /// Discards the last confirmation: the worker is checked before it is sent anything.
-    pub fn mark_doubtful(&mut self) {
+    pub fn clear_confirmation(&mut self) {
         self.confirmed_at = None;
     }
 
     /// Records that the worker takes no work, or is unreachable.
-    pub fn mark_away(&mut self, now: Timestamp) {
-        self.mark_doubtful();
-        self.away = true;
+    pub fn mark_unavailable(&mut self, now: Timestamp) {
+        self.clear_confirmation();
+        self.unavailable = true;
         self.avoid(now);
     }
 
@@ -92,15 +92,15 @@
 
     /// Records that the list has the same process again, in any state.
     pub fn mark_listed(&mut self) {
-        self.away = false;
+        self.unavailable = false;
         self.avoided_until = Timestamp(0);
     }
 }
 
 /// Returns how long an answer is valid under these settings.
 pub fn confirmation_lifetime(settings: &Settings) -> Duration {
-    let share = settings.rules.drain_grace.times(CONFIRMED_SHARE).max(MIN_CONFIRMED);
-    if settings.limits.may_probe { share } else { Duration(share.0 + RECEIVED_AT_THE_LATEST.0) }
+    let share = settings.rules.drain_grace.times(CONFIRMATION_LIFETIME_SHARE).max(MIN_CONFIRMATION_LIFETIME);
+    if settings.limits.may_probe { share } else { Duration(share.0 + MAX_LIST_CHANGE_DELAY.0) }
 }
 
 /// Returns how long the list is valid by itself after its source was heard. Where health checks are allowed,
@@ -152,7 +152,7 @@
     }
 
     /// Returns whether the list has a source that covers this worker.
-    pub fn governs(&self, worker: WorkerId) -> bool {
+    pub fn applies_to(&self, worker: WorkerId) -> bool {
         self.valid_until.is_some() && !self.fixed.contains(&worker)
     }
 
--- a/src/policy/recent.rs
+++ b/src/policy/recent.rs
@@ -5,9 +5,9 @@
 
 /// Times of one kind of event, the earliest first.
 #[derive(Default)]
-pub struct Times(VecDeque<Timestamp>);
+pub struct EventTimes(VecDeque<Timestamp>);
 
-impl Times {
+impl EventTimes {
     /// Adds an event.
     pub fn add(&mut self, at: Timestamp) {
         self.0.push_back(at);
@@ -19,23 +19,23 @@
     }
 
     /// Number of remembered events whose time satisfies a predicate.
-    pub fn count_if(&self, passes: impl Fn(Timestamp) -> bool) -> f64 {
-        self.0.iter().filter(|at| passes(**at)).count() as f64
+    pub fn count_if(&self, is_counted: impl Fn(Timestamp) -> bool) -> f64 {
+        self.0.iter().filter(|at| is_counted(**at)).count() as f64
     }
 }
 
 /// Events that a scheduler counts in a moving window.
 #[derive(Default)]
-pub struct Recent {
+pub struct RecentEvents {
     /// Load requests sent.
-    pub loads: Times,
+    pub loads: EventTimes,
     /// Requests accepted.
-    pub arrivals: Times,
+    pub arrivals: EventTimes,
     /// Requests served.
-    pub served: Times,
+    pub served: EventTimes,
 }
 
-impl Recent {
+impl RecentEvents {
     /// Forgets events older than `span`.
     pub fn forget(&mut self, now: Timestamp, span: Duration) {
         for times in [&mut self.loads, &mut self.arrivals, &mut self.served] {
--- a/src/policy/rendezvous.rs
+++ b/src/policy/rendezvous.rs
@@ -21,14 +21,14 @@
 /// Relative margin of the cheap test of a score against a bound: far above any rounding error.
 const ROUNDING_MARGIN: f64 = 1e-9;
 /// Number of values that a hash is mapped to between 0 and 1.
-const UNITS: f64 = (1u64 << 53) as f64;
+const UNIT_STEPS: f64 = (1u64 << 53) as f64;
 
 /// The listed workers with their sizes.
 #[derive(Default)]
 pub struct Rendezvous {
     entries: Vec<Entry>,
     /// Index of each worker in `entries`.
-    places: HashMap<WorkerId, usize>,
+    indices: HashMap<WorkerId, usize>,
     /// Sum of all sizes.
     total_size: f64,
     /// The largest size ever set.
@@ -78,14 +78,14 @@
     /// Lists a worker, or changes its size.
     pub fn set(&mut self, worker: WorkerId, size: f64) {
         self.largest_size = self.largest_size.max(size);
-        match self.places.get(&worker) {
-            Some(place) if self.entries[*place].size == size => return,
-            Some(place) => {
-                let before = std::mem::replace(&mut self.entries[*place].size, size);
+        match self.indices.get(&worker) {
+            Some(index) if self.entries[*index].size == size => return,
+            Some(index) => {
+                let before = std::mem::replace(&mut self.entries[*index].size, size);
                 self.total_size += size - before;
             }
             None => {
-                self.places.insert(worker, self.entries.len());
+                self.indices.insert(worker, self.entries.len());
                 self.entries.push(Entry { worker, id_hash: mix(worker.0), size });
                 self.total_size += size;
             }
@@ -95,10 +95,10 @@
 
     /// Removes a worker from the list.
     pub fn remove(&mut self, worker: WorkerId) {
-        let Some(place) = self.places.remove(&worker) else { return };
-        self.total_size -= self.entries.swap_remove(place).size;
-        if let Some(moved) = self.entries.get(place) {
-            self.places.insert(moved.worker, place);
+        let Some(index) = self.indices.remove(&worker) else { return };
+        self.total_size -= self.entries.swap_remove(index).size;
+        if let Some(moved) = self.entries.get(index) {
+            self.indices.insert(moved.worker, index);
         }
         self.record_change(worker);
     }
@@ -162,8 +162,8 @@
         }
         for worker in self.changed.range(self.changed.len() - changes..) {
             order.ranked.retain(|ranked| ranked.worker != *worker);
-            let Some(place) = self.places.get(worker) else { continue };
-            let scored = self.entries[*place].score(key);
+            let Some(index) = self.indices.get(worker) else { continue };
+            let scored = self.entries[*index].score(key);
             if scored.is_within(order.bound) {
                 let rank = order.ranked.partition_point(|other| other.compare(&scored).is_lt());
                 order.ranked.insert(rank, scored);
@@ -176,7 +176,7 @@
     /// Returns all workers whose score is within the bound, in order.
     fn ranked_within(&self, key: u64, bound: f64) -> Vec<ScoredWorker> {
         // As -ln(x) >= 1 - x, no worker within the bound fails this cheaper test.
-        let max_distance_per_size = bound * UNITS * (1.0 + ROUNDING_MARGIN);
+        let max_distance_per_size = bound * UNIT_STEPS * (1.0 + ROUNDING_MARGIN);
         let max_distance = (max_distance_per_size * self.largest_size) as u64;
         let may_be_within = |entry: &&Entry| {
             let distance = !mix(key ^ entry.id_hash) >> 11;
@@ -198,8 +198,8 @@
         workers: impl IntoIterator<Item = WorkerId>,
         count: usize,
     ) -> Vec<WorkerId> {
-        let listed = workers.into_iter().filter_map(|worker| self.places.get(&worker));
-        let mut ranked: Vec<_> = listed.map(|place| self.entries[*place].score(key)).collect();
+        let listed = workers.into_iter().filter_map(|worker| self.indices.get(&worker));
+        let mut ranked: Vec<_> = listed.map(|index| self.entries[*index].score(key)).collect();
         if count < ranked.len() {
             ranked.select_nth_unstable_by(count, ScoredWorker::compare);
             ranked.truncate(count);
@@ -212,7 +212,7 @@
 impl Entry {
     /// Computes the worker's score for a key.
     fn score(&self, key: u64) -> ScoredWorker {
-        let unit = ((mix(key ^ self.id_hash) >> 11) as f64 + 1.0) / UNITS;
+        let unit = ((mix(key ^ self.id_hash) >> 11) as f64 + 1.0) / UNIT_STEPS;
         ScoredWorker { score: -unit.ln() / self.size, worker: self.worker }
     }
 }
--- a/src/policy/rendezvous/tests.rs
+++ b/src/policy/rendezvous/tests.rs
@@ -25,37 +25,39 @@
 }
 
 /// Returns the id of a worker whose hash with this key gives this unit, out of 2^53.
-fn at_unit(key: u64, unit: u64, low: u64) -> u64 {
+fn id_at_unit(key: u64, unit: u64, low: u64) -> u64 {
     unmix(unmix(unit << 11 | low & 0x7ff) ^ key)
 }
 
 /// A size for which there are two adjacent units whose scores round to the same float.
-const ROUNDS: f64 = 1.29;
-
-fn rounds_as_the_next() -> u64 {
-    let score = |unit: u64| -((unit as f64 + 1.0) / UNITS).ln() / ROUNDS;
-    let from = ((-1.3f64).exp() * UNITS) as u64;
-    (from..from + 10_000).find(|unit| score(*unit) == score(unit + 1)).expect("some do")
+const TIE_SIZE: f64 = 1.29;
+
+fn tied_unit() -> u64 {
+    let score = |unit: u64| -((unit as f64 + 1.0) / UNIT_STEPS).ln() / TIE_SIZE;
+    let from = ((-1.3f64).exp() * UNIT_STEPS) as u64;
+    (from..from + 10_000)
+        .find(|unit| score(*unit) == score(unit + 1))
+        .expect("no two adjacent units have equal scores")
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Set(u64, f64),
     Remove(usize),
-    Many(u64, u64),
-    Ask(u64, usize),
+    SetMany(u64, u64),
+    Update(u64, usize),
 }
 
 fn sizes() -> impl Strategy<Value = f64> {
-    prop_oneof![4 => Just(1.0), 2 => 0.01..100.0f64, 1 => Just(0.01), 1 => Just(100.0), 2 => Just(ROUNDS)]
+    prop_oneof![4 => Just(1.0), 2 => 0.01..100.0f64, 1 => Just(0.01), 1 => Just(100.0), 2 => Just(TIE_SIZE)]
 }
 
 /// Ids that are drawn from all values, drawn from a small range, or chosen so that their scores for key 5 are
 /// equal or very close.
 fn ids() -> impl Strategy<Value = u64> {
-    let rounds = rounds_as_the_next();
-    let close = (0..4u64, 0..3u64).prop_map(|(unit, low)| at_unit(5, (1 << 53) - 3 + unit % 3, low));
-    let middle = (0..4u64, 0..3u64).prop_map(move |(unit, low)| at_unit(5, rounds + unit, low));
+    let tied = tied_unit();
+    let close = (0..4u64, 0..3u64).prop_map(|(unit, low)| id_at_unit(5, (1 << 53) - 3 + unit % 3, low));
+    let middle = (0..4u64, 0..3u64).prop_map(move |(unit, low)| id_at_unit(5, tied + unit, low));
     prop_oneof![4 => any::<u64>(), 3 => 0..60u64, 2 => close, 2 => middle]
 }
 
@@ -63,9 +65,9 @@
     let step = prop_oneof![
         5 => (ids(), sizes()).prop_map(|(id, size)| Step::Set(id, size)),
         2 => any::<usize>().prop_map(Step::Remove),
-        1 => (any::<u64>(), 1..700u64).prop_map(|(from, count)| Step::Many(from, count)),
+        1 => (any::<u64>(), 1..700u64).prop_map(|(from, count)| Step::SetMany(from, count)),
         8 => (4..8u64, prop_oneof![6 => 0..40usize, 1 => Just(1_000usize)])
-            .prop_map(|(key, wanted)| Step::Ask(key, wanted)),
+            .prop_map(|(key, wanted)| Step::Update(key, wanted)),
     ];
     proptest::collection::vec(step, 1..120)
 }
@@ -76,7 +78,7 @@
     /// Whatever happens to the list between two requests, a cached order is a prefix of the full sort, and at
     /// least as long as was asked for.
     #[test]
-    fn a_kept_order_begins_as_the_full_sort_does(steps in steps()) {
+    fn cached_order_is_a_prefix_of_the_full_sort(steps in steps()) {
         let (mut list, mut rendezvous) = (BTreeMap::new(), Rendezvous::default());
         let mut orders: BTreeMap<u64, RankedWorkers> = BTreeMap::new();
         for step in steps {
@@ -90,18 +92,18 @@
                     list.remove(&id);
                     rendezvous.remove(WorkerId(id));
                 }
-                Step::Many(from, count) => (0..count).for_each(|n| {
+                Step::SetMany(from, count) => (0..count).for_each(|n| {
                     let id = mix(from.wrapping_add(n));
                     list.insert(id, 1.0 + (n % 3) as f64);
                     rendezvous.set(WorkerId(id), 1.0 + (n % 3) as f64);
                 }),
-                Step::Ask(key, wanted) => {
+                Step::Update(key, wanted) => {
                     let order = orders.entry(key).or_default();
                     rendezvous.update(key, order, wanted);
-                    let (full, kept) = (full_sort(key, &list), order.workers().collect::<Vec<_>>());
-                    prop_assert!(kept.len() >= wanted.min(list.len()));
-                    prop_assert_eq!(&kept[..], &full[..kept.len()]);
-                    prop_assert_eq!((order.len(), rendezvous.len()), (kept.len(), list.len()));
+                    let (full, cached) = (full_sort(key, &list), order.workers().collect::<Vec<_>>());
+                    prop_assert!(cached.len() >= wanted.min(list.len()));
+                    prop_assert_eq!(&cached[..], &full[..cached.len()]);
+                    prop_assert_eq!((order.len(), rendezvous.len()), (cached.len(), list.len()));
                 }
             }
         }
@@ -109,39 +111,40 @@
 
     /// The first workers of a filtered list are the first of the filtered full sort.
     #[test]
-    fn the_first_of_some_are_those_of_the_full_sort(
+    fn first_of_a_filtered_list_matches_the_filtered_full_sort(
         list in proptest::collection::btree_map(ids(), sizes(), 0..300),
         key in 4..8u64,
-        most in prop_oneof![0..20usize, Just(usize::MAX)],
+        count in prop_oneof![0..20usize, Just(usize::MAX)],
         part in 1..5u64,
     ) {
         let mut rendezvous = Rendezvous::default();
         list.iter().for_each(|(id, size)| rendezvous.set(WorkerId(*id), *size));
         let passes = |worker: &WorkerId| mix(worker.0 ^ 99).is_multiple_of(part);
         let mut expected: Vec<_> = full_sort(key, &list).into_iter().filter(passes).collect();
-        expected.truncate(most);
+        expected.truncate(count);
         let some = list.keys().map(|id| WorkerId(*id)).filter(passes);
-        prop_assert_eq!(rendezvous.first(key, some, most), expected);
+        prop_assert_eq!(rendezvous.first(key, some, count), expected);
     }
 }
 
 /// Checks that the chosen ids hash to the wanted units.
 #[test]
-fn workers_can_be_placed_a_hair_apart() {
-    for unit in [0, 1, rounds_as_the_next(), (1 << 53) - 1] {
-        assert_eq!(mix(5 ^ mix(at_unit(5, unit, 1))) >> 11, unit);
+fn chosen_ids_hash_to_the_wanted_units() {
+    for unit in [0, 1, tied_unit(), (1 << 53) - 1] {
+        assert_eq!(mix(5 ^ mix(id_at_unit(5, unit, 1))) >> 11, unit);
     }
 }
 
 /// Two workers whose scores round to one float are ordered by id, even if only one of them would be within a
 /// bound by its hash.
 #[test]
-fn equal_scores_go_by_id() {
-    let (unit, mut list, mut rendezvous) = (rounds_as_the_next(), BTreeMap::new(), Rendezvous::default());
+fn equal_scores_are_ordered_by_id() {
+    let (unit, mut list, mut rendezvous) = (tied_unit(), BTreeMap::new(), Rendezvous::default());
     let mut others = (1u64..).filter(|id| mix(5 ^ mix(*id)) >> 11 < unit - 1_000);
-    for id in [at_unit(5, unit, 0), at_unit(5, unit + 1, 0)].into_iter().chain(others.by_ref().take(60)) {
-        list.insert(id, ROUNDS);
-        rendezvous.set(WorkerId(id), ROUNDS);
+    for id in [id_at_unit(5, unit, 0), id_at_unit(5, unit + 1, 0)].into_iter().chain(others.by_ref().take(60))
+    {
+        list.insert(id, TIE_SIZE);
+        rendezvous.set(WorkerId(id), TIE_SIZE);
     }
     for wanted in [1, 2, 3] {
         let mut order = RankedWorkers::default();
@@ -155,7 +158,7 @@
 /// With a large list, the order that is cached for a function stays small, and one change does not invalidate
 /// it.
 #[test]
-fn what_is_kept_stays_small() {
+fn cached_order_stays_small() {
     let mut rendezvous = Rendezvous::default();
     (0..20_000).for_each(|n| rendezvous.set(WorkerId(n), 1.0));
     let mut order = RankedWorkers::default();
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_bucket_holds_one_refill_at_most() {
+fn token_bucket_holds_at_most_one_refill() {
     let mut bucket = TokenBucket::new(0.5, at(0));
     assert!(!bucket.has_token());
     bucket.refill(at(1000), 3.0);
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn a_limit_grows_while_answers_are_in_time_and_shrinks_once_an_interval() {
+fn limit_grows_while_answers_are_in_time_and_shrinks_once_per_interval() {
     let mut limit = ConcurrencyLimit::new();
     assert!(limit.admits(7, 1.0) && !limit.admits(8, 1.0) && limit.admits(8, 1.5));
     for _ in 0..6 {
         limit.observe(at(1000), 0.1, 8);
     }
-    assert!(limit.admits(8, 1.0) && limit.is_unstrained());
+    assert!(limit.admits(8, 1.0) && limit.is_latency_low());
     limit.decrease(at(2000));
     limit.decrease(at(2100));
     assert!(limit.admits(6, 1.0) && !limit.admits(8, 1.0));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn slowness_decays_by_half_in_four_seconds() {
+fn slowness_halves_its_distance_from_one_in_four_seconds() {
     let mut slowness = Slowness::new();
     slowness.observe_in_flight(at(1_000_000), 1.5);
     assert_eq!(slowness.at(at(1_000_000)), 1.0);
@@ -70,20 +70,20 @@
 }
 
 #[test]
-fn a_class_that_stays_the_same_keeps_its_usual_latency() {
+fn unchanged_class_keeps_its_mean_latency() {
     let old = [class(Duration::millis(400)), class(Duration::millis(800))];
     let new = [class(Duration::millis(400)), class(Duration::millis(400)), class(Duration::millis(800))];
     let mut latencies = ClassLatencies::new(&old);
     latencies.observe(0, 1.0);
     latencies.observe(1, 1.0);
-    let learnt = latencies.usual_s(0);
-    assert!(learnt > 0.1);
+    let learned = latencies.mean_s(0);
+    assert!(learned > 0.1);
     latencies.configure(&old, &new);
-    assert_eq!(latencies.all_usual_s(), [learnt, 0.1, 0.2]);
+    assert_eq!(latencies.means_s(), [learned, 0.1, 0.2]);
 }
 
 #[test]
-fn a_worker_that_fails_too_often_is_ejected_for_a_while() {
+fn worker_with_a_high_error_rate_is_ejected_temporarily() {
     let mut health = WorkerHealth::new(at(0));
     health.observe_outcome(at(1000), true);
     health.observe_outcome(at(1000), true);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_peers_report_counts_until_the_worker_answers_or_two_seconds_are_over() {
+fn peer_report_counts_until_the_worker_answers_or_two_seconds_pass() {
     let mut health = WorkerHealth::new(at(0));
     health.observe_peer_check(false, at(1000));
     assert!(health.is_reported_silent(at(2999)) && !health.is_reported_silent(at(3000)));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_as_its_effect_allows() {
+fn request_that_may_have_run_is_repeated_as_its_effect_allows() {
     let window = Duration::millis(1000);
     let keyed = |group| Effect::Keyed { group, window };
     assert!(retry::may_repeat(Effect::Safe, at(0), at(99_999)));
--- a/src/policy/timer_queue.rs
+++ b/src/policy/timer_queue.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records that the requested wake-up has arrived.
-    pub fn fired(&mut self) {
+    pub fn wakeup_arrived(&mut self) {
         self.armed = None;
     }
 
--- a/src/policy/unreachable_zones.rs
+++ b/src/policy/unreachable_zones.rs
@@ -13,7 +13,7 @@
 /// Number of failures with which the backoff of a newly unreachable zone starts.
 const INITIAL_FAILURES: u32 = 2;
 
-/// A zone from which nothing has been received since some time.
+/// A zone from which nothing has been received since `since`.
 struct UnreachableZone {
     since: Timestamp,
     /// Until when the zone is skipped.
@@ -50,7 +50,7 @@
     }
 
     /// Records a worker whose connection broke at `now`.
-    pub fn note_break(&mut self, worker: &Worker, now: Timestamp) {
+    pub fn record_break(&mut self, worker: &Worker, now: Timestamp) {
         if worker.health.broke_at == now {
             self.broken_workers.insert(worker.member.worker);
         }
--- a/src/policy/workers.rs
+++ b/src/policy/workers.rs
@@ -29,7 +29,7 @@
     pub health: WorkerHealth,
     /// Whether it is known to take work.
     pub readiness: Readiness,
-    /// Its latency relative to other workers.
+    /// Its latency relative to the class means.
     pub slowness: Slowness,
     /// Limit on our requests in flight there.
     pub limit: ConcurrencyLimit,
@@ -165,8 +165,8 @@
     }
 
     /// Returns whether a worker recently answered that it has no instance.
-    pub fn missed_lately(&self, function: FunctionId, worker: WorkerId, now: Timestamp) -> bool {
-        self.instance(function, worker).is_some_and(|instance| instance.missed_lately(now))
+    pub fn missed_recently(&self, function: FunctionId, worker: WorkerId, now: Timestamp) -> bool {
+        self.instance(function, worker).is_some_and(|instance| instance.missed_recently(now))
     }
 
     /// Number of our requests of a function in flight at a worker.
