--- a/src/backend/codec.rs
+++ b/src/backend/codec.rs
@@ -1,58 +1,59 @@
-//! The words of workers, whichever kind they are of: what is read from their lines, and what a codec writes.
+//! The interface of the codecs that encode commands to workers and decode their replies.
 
 use crate::interface::{FunctionId, Timestamp};
 use crate::request::{LoadReport, Reply, RequestPayload};
 
-/// What a worker's line says.
+/// A decoded line from a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerReply {
-    /// An answer to a request or, for orders, with the instances that stand.
+    /// The reply to an attempt or to a load command.
     Answer {
-        /// The name under which the command went out.
+        /// The ID under which the command was sent.
         rid: String,
-        /// What it says.
+        /// The decoded status and body.
         reply: Reply,
-        /// Instances that stand, where told.
+        /// Number of loaded instances, if reported.
         instances: Option<u32>,
     },
-    /// The answer to a probe.
+    /// The reply to a probe.
     Alive {
-        /// The name under which the probe went out.
+        /// The ID under which the probe was sent.
         rid: String,
-        /// What it tells of its load.
+        /// The reported load figures.
         report: LoadReport,
     },
 }
 
-/// A line that cannot be read; with the name it answers, where that much could be read.
+/// A line that cannot be decoded, with the ID of the command that it answers if that could be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParseError {
-    /// The name under which the command went out.
+    /// The ID under which the command was sent.
     pub rid: Option<String>,
-    /// What is wrong.
+    /// What is wrong with the line.
     pub cause: &'static str,
 }
 
-/// The words of one kind of worker: pure functions from commands to lines and back.
+/// Encodes commands to one kind of worker as lines, and decodes its replies, without state.
 pub trait Codec {
-    /// The line that starts an attempt at `now`, whose answer is waited for until the deadline.
+    /// The line that starts an attempt. The time limit that it carries is what remains from `now` to `deadline`.
     fn go(&self, work: &RequestPayload, now: Timestamp, deadline: Timestamp) -> Vec<u8>;
-    /// The line that gives it up.
+    /// The line that cancels an attempt.
     fn halt(&self, rid: &str) -> Vec<u8>;
-    /// The line that orders a load.
+    /// The line that requests the load of a function's instances.
     fn stage(&self, rid: &str, function: FunctionId, instances: u8) -> Vec<u8>;
     /// The line that unloads idle instances.
     fn purge(&self, function: FunctionId) -> Vec<u8>;
-    /// The line that probes under this name.
+    /// The line of a probe with this ID.
     fn probe(&self, rid: &str) -> Vec<u8>;
-    /// Reads a line, without its line feed.
+    /// Decodes a line, passed without its line feed.
     ///
     /// # Errors
-    /// The line is not of this protocol; [`ParseError`] names the attempt where that could still be read.
+    /// The line is invalid; [`ParseError`] has the ID of the command if that could be read.
     fn read(&self, line: &[u8]) -> Result<WorkerReply, ParseError>;
 }
 
-/// What remains until a deadline in whole milliseconds, as the wires tell it; never 0, which could mean none.
+/// Time left until a deadline in whole milliseconds, rounded up, as sent to workers. Never 0, which could be read as no
+/// limit.
 pub(super) fn left_ms(now: Timestamp, deadline: Timestamp) -> u64 {
     (deadline - now).0.div_ceil(1_000_000).max(1)
 }
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -1,8 +1,8 @@
 //! A connection to a worker.
 //!
-//! A [`WorkerConnection`] keeps the rule on repeats honest: it writes one command at a time and only once
-//! the one before has gone to the system whole, so that for every attempt it knows how far it had come when
-//! the connection broke; and it asks the core right before the first byte whether the command may still go.
+//! The rule on when an attempt may be repeated needs to know how far each attempt had got when its connection broke. A
+//! [`WorkerConnection`] therefore writes one command at a time, and only after the one before has been written
+//! completely. Right before the first byte of a command, it asks the core whether the command may still be sent.
 
 use super::Pool;
 use super::codec::{Codec, ParseError, WorkerReply};
@@ -15,52 +15,59 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Longest line taken from a worker: a body of 230,000 bytes in base64 with room to spare.
+/// Longest line accepted from a worker. It leaves ample room for a body of 230,000 bytes in base64.
 pub const MAX_LINE_BYTES: usize = 512 << 10;
-/// Buffers of a connection to a worker: a line, and 4 MiB of commands that wait.
+/// Buffer limits of a connection to a worker: one line of input, and 4 MiB of commands as output.
 pub const BUFFER_LIMITS: BufferLimits = BufferLimits { input: MAX_LINE_BYTES, output: 4 << 20 };
-/// Open commands, with those that wait, on one connection.
-const QUEUE: usize = 4096;
-/// For how long the name of an attempt that is over is kept from use on its connection: a late answer may still come.
-/// Clients may withdraw requests by hundreds, so that the names are bounded too.
-const ENDED_NAME_LASTS: Duration = Duration::millis(10_000);
-/// The most names of attempts that are over that are kept from use on one connection.
+/// Most open and queued commands on one connection.
+const MAX_OPEN_COMMANDS: usize = 4096;
+/// How long the ID of an ended attempt stays reserved on its connection, because a late answer may still arrive.
+/// Clients may withdraw hundreds of requests, so the number of reserved IDs is limited as well.
+const ENDED_NAME_RETENTION: Duration = Duration::millis(10_000);
+/// Most IDs of ended attempts that stay reserved on one connection.
 const MAX_ENDED_NAMES: usize = 1024;
-/// A request whose line the system has not taken whole after this long is taken back: the time left that the line tells is
-/// that of the moment it was made, and may be told 150 ms too long at most.
-const STALL: Duration = Duration::millis(100);
-/// A worker's line that has begun must have come whole within this time, and so much more for each KiB that has
-/// come. One that stops short would swallow the start of every later answer on its connection.
+/// A request whose line has not been written completely after this time is withdrawn. The line carries the time that
+/// was left when it was made, which may exceed the actual time left by 150 ms at most.
+const WRITE_TIMEOUT: Duration = Duration::millis(100);
+/// Time within which a worker's line must arrive completely, extended by [`LINE_TIMEOUT_PER_KIB`]. A line without an
+/// end would absorb the start of the next answer on its connection.
 const LINE_TIMEOUT: Duration = Duration::millis(300);
-/// What each KiB of a line that has come adds to [`LINE_TIMEOUT`].
+/// Extension of [`LINE_TIMEOUT`] for each KiB of the line received so far.
 const LINE_TIMEOUT_PER_KIB: Duration = Duration::millis(1);
 
+/// An open command, or the reserved ID of an ended attempt.
 #[derive(Clone, Copy, Debug)]
-enum Open {
+/// An open command, or the reserved ID of an ended attempt.
+enum OpenEntry {
     Attempt(AttemptId),
     Load(LoadId),
     Probe(ProbeId),
-    /// Over at this time, given up or not served: an answer that still comes belongs to nobody.
-    Shadow(Timestamp),
+    /// An attempt that ended at this time, cancelled or not served. An answer that still arrives is ignored.
+    Ended(Timestamp),
 }
 
-/// Figures that all connections to workers share.
+/// Limits that apply to each connection to a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Attempts at a time.
+    /// Most concurrent attempts on one connection.
     pub multiplex: usize,
-    /// Connections to one worker over which requests are spread, at most.
-    pub spread: usize,
-    /// Closed by us after so long without anything open: before the worker does, or a command could cross.
-    pub idle: Duration,
+    /// Most connections to one worker over which requests are spread.
+    pub max_connections: usize,
+    /// Time without open commands after which the scheduler closes a connection. It is shorter than the worker's own
+    /// limit, so that no command crosses with the worker's close.
+    pub idle_timeout: Duration,
 }
 
 impl ConnectionLimits {
-    /// What a site's settings make of them, for the daemon and for clients with a scheduler inside alike.
+    /// Derives the limits from a site's settings, for the daemon and for clients with an embedded scheduler alike.
     pub fn of(site: &Site) -> ConnectionLimits {
-        // Closed before the worker's own limit, or a command could cross its close.
-        let idle = site.idle_close.times(0.8);
-        ConnectionLimits { multiplex: site.multiplex, spread: Pool::share(site.settings.fleet_size), idle }
+        // Shorter than the worker's own limit, so that no command crosses with the worker's close.
+        let idle_timeout = site.idle_close.times(0.8);
+        ConnectionLimits {
+            multiplex: site.multiplex,
+            max_connections: Pool::connections_per_scheduler(site.settings.fleet_size),
+            idle_timeout,
+        }
     }
 }
 
@@ -69,32 +76,37 @@
     codec: Rc<dyn Codec>,
     limits: ConnectionLimits,
     pending: VecDeque<Job>,
-    open: HashMap<String, Open>,
+    open: HashMap<String, OpenEntry>,
     names: HashMap<AttemptId, String>,
-    /// The command whose bytes are on their way to the system.
-    writing: Option<Open>,
-    /// When its line was made.
-    written_at: Timestamp,
+    /// The command that is being written.
+    writing: Option<OpenEntry>,
+    /// When the line of the command being written was made.
+    line_made_at: Timestamp,
     attempts: usize,
-    /// Until when the connection must be up.
-    connect_by: Option<Timestamp>,
-    idle_since: Timestamp,
-    shadows: VecDeque<(Timestamp, String)>,
-    /// When the probe that is out here has failed.
-    probe_by: Option<(Timestamp, ProbeId)>,
-    /// When the line that has begun did so, and how much of it holds no end.
-    begun: Option<Timestamp>,
-    searched: usize,
-    /// A probe got no answer and nothing has come since. A connection through a cut stays up and silent, and
-    /// goes on slowly when the cut ends: new work takes a new one, whose refusal proves that nothing ran.
-    silent: bool,
-    /// Half a command has gone out and the rest never will: answers are still read, and nothing more is written.
-    cut: bool,
+    /// Deadline for establishing the connection; `None` once it is established.
+    connect_deadline: Option<Timestamp>,
+    last_used: Timestamp,
+    ended_names: VecDeque<(Timestamp, String)>,
+    /// The outstanding probe and the time at which it fails.
+    probe_deadline: Option<(Timestamp, ProbeId)>,
+    /// When the first byte of the incomplete input line was read.
+    line_started: Option<Timestamp>,
+    searched_bytes: usize,
+    /// A probe was not answered and nothing has been received since. A connection through a network partition stays
+    /// established without traffic, and recovers slowly afterwards. New work takes a new connection, whose refusal
+    /// proves that nothing ran.
+    unresponsive: bool,
+    /// A command was written in part and the rest discarded: answers are still read, but nothing more is written.
+    write_aborted: bool,
 }
 
 impl WorkerConnection {
-    /// A connection that is coming up and has failed if it is not up by then.
-    pub fn new(codec: Rc<dyn Codec>, limits: ConnectionLimits, connect_by: Timestamp) -> WorkerConnection {
+    /// A connection that is being established and fails if it isn't by `connect_deadline`.
+    pub fn new(
+        codec: Rc<dyn Codec>,
+        limits: ConnectionLimits,
+        connect_deadline: Timestamp,
+    ) -> WorkerConnection {
         WorkerConnection {
             codec,
             limits,
@@ -102,42 +114,48 @@
             open: HashMap::new(),
             names: HashMap::new(),
             writing: None,
-            written_at: Timestamp(0),
+            line_made_at: Timestamp(0),
             attempts: 0,
-            connect_by: Some(connect_by),
-            idle_since: connect_by,
-            shadows: VecDeque::new(),
-            probe_by: None,
-            begun: None,
-            searched: 0,
-            silent: false,
-            cut: false,
+            connect_deadline: Some(connect_deadline),
+            last_used: connect_deadline,
+            ended_names: VecDeque::new(),
+            probe_deadline: None,
+            line_started: None,
+            searched_bytes: 0,
+            unresponsive: false,
+            write_aborted: false,
         }
     }
 
-    fn load_name(load: LoadId) -> String {
+    fn load_rid(load: LoadId) -> String {
         format!("load-{}{}", load.number, Fenced::suffix(load.lease))
     }
 
-    fn probe_name(probe: ProbeId) -> String {
+    fn probe_rid(probe: ProbeId) -> String {
         format!("probe-{}{}", probe.number, Fenced::suffix(probe.lease))
     }
 
-    /// Writes commands one after another, each once the one before has gone whole, up to the next attempt: that one is
-    /// written by [`Connection::write_next_attempt`].
-    fn pump(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.write(false, link, context)
+    /// Writes queued commands one after another, each after the one before has been written completely, up to the next
+    /// attempt. Attempts are written by [`Connection::write_next_attempt`].
+    fn write_commands(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
+        self.write_pending(false, link, context)
     }
 
-    fn write(&mut self, mut attempt_too: bool, link: &mut Link, context: &mut Context) -> ControlFlow {
-        if self.cut {
+    fn write_pending(
+        &mut self,
+        mut attempt_allowed: bool,
+        link: &mut Link,
+        context: &mut Context,
+    ) -> ControlFlow {
+        if self.write_aborted {
             return self.drop_all(context);
         }
         while link.is_connected() && link.unwritten_bytes() == 0 {
-            if let Some(Open::Attempt(attempt)) = self.writing.take() {
+            if let Some(OpenEntry::Attempt(attempt)) = self.writing.take() {
                 context.core.written(context.now, attempt);
             }
-            if matches!(self.pending.front(), Some(Job::Send { .. })) && !std::mem::take(&mut attempt_too) {
+            if matches!(self.pending.front(), Some(Job::Send { .. })) && !std::mem::take(&mut attempt_allowed)
+            {
                 break;
             }
             let Some(job) = self.pending.pop_front() else { break };
@@ -148,7 +166,7 @@
                         continue;
                     }
                     link.enqueue(&self.codec.go(&work, context.now, deadline));
-                    (self.writing, self.written_at) = (Some(Open::Attempt(attempt)), context.now);
+                    (self.writing, self.line_made_at) = (Some(OpenEntry::Attempt(attempt)), context.now);
                 }
                 Job::Cancel { attempt } => {
                     if let Some(name) = self.names.remove(&attempt) {
@@ -160,15 +178,15 @@
                         self.drop_load(load, context);
                         continue;
                     }
-                    link.enqueue(&self.codec.stage(&Self::load_name(load), function, instances));
-                    self.writing = Some(Open::Load(load));
+                    link.enqueue(&self.codec.stage(&Self::load_rid(load), function, instances));
+                    self.writing = Some(OpenEntry::Load(load));
                 }
                 Job::Probe { probe, .. } => {
                     if !context.core.may_write_probe(context.clock.now(), probe) {
                         self.drop_probe(probe, context);
                         continue;
                     }
-                    link.enqueue(&self.codec.probe(&Self::probe_name(probe)));
+                    link.enqueue(&self.codec.probe(&Self::probe_rid(probe)));
                 }
                 Job::Unload { function } => link.enqueue(&self.codec.purge(function)),
             }
@@ -181,7 +199,7 @@
         ControlFlow::Continue
     }
 
-    /// An attempt that does not go out, for a reason of our own.
+    /// Drops an attempt that is not sent for a reason on this side.
     fn drop_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
         if let Some(name) = self.names.remove(&attempt) {
             self.attempts -= 1;
@@ -191,18 +209,18 @@
     }
 
     fn drop_load(&mut self, load: LoadId, context: &mut Context) {
-        self.open.remove(&Self::load_name(load));
+        self.open.remove(&Self::load_rid(load));
         context.core.load_not_sent(context.now, load);
     }
 
     fn drop_probe(&mut self, probe: ProbeId, context: &mut Context) {
-        self.open.remove(&Self::probe_name(probe));
-        self.probe_by = self.probe_by.filter(|(_, waited)| *waited != probe);
+        self.open.remove(&Self::probe_rid(probe));
+        self.probe_deadline = self.probe_deadline.filter(|(_, waited)| *waited != probe);
         context.core.probe_not_sent(context.now, probe);
     }
 
-    /// Nothing can be written here any more: what is in line goes elsewhere, and the connection ends once no answer
-    /// is waited for.
+    /// Drops all queued commands, as nothing can be written here any more. The connection closes once no answer is
+    /// outstanding.
     fn drop_all(&mut self, context: &mut Context) -> ControlFlow {
         while let Some(job) = self.pending.pop_front() {
             match job {
@@ -215,14 +233,14 @@
         if self.idle_since().is_some() { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
-    fn line(&mut self, line: &[u8], context: &mut Context) -> ControlFlow {
-        self.silent = false;
+    fn handle_line(&mut self, line: &[u8], context: &mut Context) -> ControlFlow {
+        self.unresponsive = false;
         let (rid, reply, instances) = match self.codec.read(line) {
             Ok(WorkerReply::Alive { rid, report }) => {
-                if let Some(Open::Probe(probe)) = self.open.get(&rid) {
+                if let Some(OpenEntry::Probe(probe)) = self.open.get(&rid) {
                     let probe = *probe;
                     self.open.remove(&rid);
-                    self.probe_by = None;
+                    self.probe_deadline = None;
                     context.core.probe_ended(context.now, probe, Ok(report));
                 }
                 return ControlFlow::Continue;
@@ -230,96 +248,104 @@
             Ok(WorkerReply::Answer { rid, reply, instances }) => (rid, Ok(reply), instances),
             Err(ParseError { rid, cause }) => {
                 context.core.counters().unreadable += 1;
-                if let Some(Open::Attempt(attempt)) = rid.as_ref().and_then(|rid| self.open.remove(rid)) {
+                if let Some(OpenEntry::Attempt(attempt)) = rid.as_ref().and_then(|rid| self.open.remove(rid))
+                {
                     self.attempts -= 1;
                     self.names.remove(&attempt);
                     let broken = Broken { progress: AttemptProgress::Answered, cause };
                     context.core.attempt_ended(context.now, attempt, Err(broken));
                 }
-                // Where a line ends and the next begins is no longer sure: nothing more comes of use on this
-                // connection, and whatever is open on it would wait in vain until its deadline.
+                // The line boundaries are no longer certain, so the connection is of no more use, and whatever is open
+                // on it would only wait for its deadline.
                 return ControlFlow::Close;
             }
         };
-        // A name that is not open belongs to nobody (any more); a worker may say what it likes.
+        // An answer with an ID that is not open, or no longer, is ignored.
         match self.open.remove(&rid) {
-            Some(Open::Attempt(attempt)) => {
+            Some(OpenEntry::Attempt(attempt)) => {
                 self.attempts -= 1;
                 self.names.remove(&attempt);
-                // Sent again, the request goes by another connection: a second answer to this one, which may still come,
-                // would pass for the other's.
+                // A retry must take another connection: a second answer to this attempt, which may still arrive,
+                // would be taken for the retry's.
                 if !matches!(reply, Ok(Reply::Ok(_))) {
-                    self.shadow(rid, context.now);
+                    self.retain_name(rid, context.now);
                 }
                 context.core.attempt_ended(context.now, attempt, reply);
             }
-            Some(Open::Load(load)) => {
-                let standing = reply
+            Some(OpenEntry::Load(load)) => {
+                let result = reply
                     .map(|reply| LoadResult { status: reply.status(), instances: instances.unwrap_or(0) });
-                context.core.load_ended(context.now, load, standing);
+                context.core.load_ended(context.now, load, result);
             }
-            // An answer, but not that it lives.
-            Some(Open::Probe(probe)) => {
-                self.probe_by = None;
+            // An answer other than `alive`.
+            Some(OpenEntry::Probe(probe)) => {
+                self.probe_deadline = None;
                 let broken = Broken { progress: AttemptProgress::Answered, cause: "not alive" };
                 context.core.probe_ended(context.now, probe, Err(broken));
             }
-            Some(Open::Shadow(_)) | None => {}
+            Some(OpenEntry::Ended(_)) | None => {}
         }
-        self.idle_since = context.now;
+        self.last_used = context.now;
         ControlFlow::Continue
     }
 
-    /// The attempt of which a part, or all, still waits in the output buffer.
-    fn unsent_attempt(&self, link: &Link) -> Option<AttemptId> {
+    /// The attempt that is still in the output buffer, in whole or in part.
+    fn unwritten_attempt(&self, link: &Link) -> Option<AttemptId> {
         match self.writing {
-            Some(Open::Attempt(attempt)) if link.unwritten_bytes() > 0 => Some(attempt),
+            Some(OpenEntry::Attempt(attempt)) if link.unwritten_bytes() > 0 => Some(attempt),
             _ => None,
         }
     }
 
-    /// Until when the request that is being written must have gone whole.
-    fn stalled_by(&self) -> Option<Timestamp> {
-        matches!(self.writing, Some(Open::Attempt(_))).then_some(self.written_at + STALL)
+    /// Time by which the request that is being written must be written completely.
+    fn write_deadline(&self) -> Option<Timestamp> {
+        matches!(self.writing, Some(OpenEntry::Attempt(_))).then_some(self.line_made_at + WRITE_TIMEOUT)
     }
 
-    /// Takes back the request that is being written, as far as it has not gone. It cannot have run: a line without an end is no
-    /// command.
-    fn take_back(&mut self, attempt: AttemptId, link: &mut Link, context: &mut Context) -> ControlFlow {
+    /// Discards the unwritten part of the request that is being written. The request cannot have run, because a worker
+    /// ignores a line without an end.
+    fn abort_write(&mut self, attempt: AttemptId, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.writing = None;
-        self.cut = !link.discard_output();
+        self.write_aborted = !link.discard_output();
         if let Some(name) = self.names.remove(&attempt) {
             self.attempts -= 1;
             self.open.remove(&name);
-            let progress = if self.cut { AttemptProgress::PartlyWritten } else { AttemptProgress::NotSent };
-            let broken = Broken { progress, cause: "the worker reads nothing" };
+            let progress =
+                if self.write_aborted { AttemptProgress::PartlyWritten } else { AttemptProgress::NotSent };
+            let broken = Broken { progress, cause: "the worker does not read" };
             context.core.attempt_ended(context.now, attempt, Err(broken));
         }
-        self.pump(link, context)
+        self.write_commands(link, context)
     }
 
-    /// Until when the line that has begun must have ended.
-    fn line_by(&self) -> Option<Timestamp> {
-        Some(self.begun? + Duration(LINE_TIMEOUT.0 + LINE_TIMEOUT_PER_KIB.0 * (self.searched as u64 >> 10)))
+    /// Time by which the incomplete input line must end.
+    fn line_deadline(&self) -> Option<Timestamp> {
+        Some(
+            self.line_started?
+                + Duration(LINE_TIMEOUT.0 + LINE_TIMEOUT_PER_KIB.0 * (self.searched_bytes as u64 >> 10)),
+        )
     }
 
-    /// Keeps the name of an attempt that is over from use here: an answer to it may still come.
-    fn shadow(&mut self, name: String, now: Timestamp) {
-        self.open.insert(name.clone(), Open::Shadow(now));
-        self.shadows.push_back((now, name));
-        self.drop_shadows(now);
+    /// Reserves the ID of an ended attempt on this connection, because an answer to it may still arrive.
+    fn retain_name(&mut self, name: String, now: Timestamp) {
+        self.open.insert(name.clone(), OpenEntry::Ended(now));
+        self.ended_names.push_back((now, name));
+        self.drop_ended_names(now);
     }
 
-    fn drop_shadows(&mut self, now: Timestamp) {
-        let many = self.shadows.len().saturating_sub(MAX_ENDED_NAMES);
-        let mut gone =
-            self.shadows.iter().position(|(at, _)| *at + ENDED_NAME_LASTS >= now).unwrap_or(usize::MAX);
-        gone = gone.min(self.shadows.len()).max(many);
-        for _ in 0..gone {
-            let Some((at, _)) = self.shadows.front() else { return };
+    fn drop_ended_names(&mut self, now: Timestamp) {
+        let excess = self.ended_names.len().saturating_sub(MAX_ENDED_NAMES);
+        let mut expired = self
+            .ended_names
+            .iter()
+            .position(|(at, _)| *at + ENDED_NAME_RETENTION >= now)
+            .unwrap_or(usize::MAX);
+        expired = expired.min(self.ended_names.len()).max(excess);
+        for _ in 0..expired {
+            let Some((at, _)) = self.ended_names.front() else { return };
             let at = *at;
-            let Some((_, rid)) = self.shadows.pop_front() else { return };
-            if matches!(self.open.get(&rid), Some(Open::Shadow(since)) if *since == at) {
+            let Some((_, rid)) = self.ended_names.pop_front() else { return };
+            if matches!(self.open.get(&rid), Some(OpenEntry::Ended(since)) if *since == at) {
                 self.open.remove(&rid);
             }
         }
@@ -332,20 +358,20 @@
     }
 
     fn opened(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.connect_by = None;
-        self.idle_since = context.now;
+        self.connect_deadline = None;
+        self.last_used = context.now;
         context.core.counters().opened += 1;
-        self.pump(link, context)
+        self.write_commands(link, context)
     }
 
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        // A long line comes in many pieces; what has been searched is not searched again.
-        let (mut from, mut searched) = (0, self.searched.min(link.input.len()));
-        while let Some(end) = link.input[searched..].iter().position(|b| *b == b'\n') {
-            let line = link.input[from..searched + end].to_vec();
-            from = searched + end + 1;
-            searched = from;
-            if self.line(&line, context) == ControlFlow::Close {
+        // A long line arrives in many parts, and what has been searched for a line feed is not searched again.
+        let (mut from, mut searched_bytes) = (0, self.searched_bytes.min(link.input.len()));
+        while let Some(end) = link.input[searched_bytes..].iter().position(|b| *b == b'\n') {
+            let line = link.input[from..searched_bytes + end].to_vec();
+            from = searched_bytes + end + 1;
+            searched_bytes = from;
+            if self.handle_line(&line, context) == ControlFlow::Close {
                 link.set_close_cause(CloseCause::Unreadable);
                 return ControlFlow::Close;
             }
@@ -357,29 +383,29 @@
         if link.input.len() > MAX_LINE_BYTES || link.peer_closed {
             return ControlFlow::Close;
         }
-        self.searched = link.input.len();
-        self.begun = if link.input.is_empty() {
+        self.searched_bytes = link.input.len();
+        self.line_started = if link.input.is_empty() {
             None
         } else {
-            // What is left after a complete line has only just begun.
-            self.begun.filter(|_| from == 0).or(Some(context.now))
+            // What follows a complete line has only just started to arrive.
+            self.line_started.filter(|_| from == 0).or(Some(context.now))
         };
-        self.pump(link, context)
+        self.write_commands(link, context)
     }
 
     fn flushed(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.pump(link, context)
+        self.write_commands(link, context)
     }
 
-    /// Much may have changed since the command was put in line, so the gates are asked once more.
+    /// Checks again whether the command may be sent, as much may have changed since it was queued.
     fn before_first_byte(&mut self, link: &mut Link, context: &mut Context) {
         match self.writing {
-            Some(Open::Attempt(attempt)) if !context.core.may_write(context.now, attempt) => {
+            Some(OpenEntry::Attempt(attempt)) if !context.core.may_write(context.now, attempt) => {
                 link.discard_output();
                 self.writing = None;
                 self.drop_attempt(attempt, context);
             }
-            Some(Open::Load(load)) if !context.core.load_still_allowed(context.now, load) => {
+            Some(OpenEntry::Load(load)) if !context.core.load_still_allowed(context.now, load) => {
                 link.discard_output();
                 self.writing = None;
                 self.drop_load(load, context);
@@ -389,77 +415,81 @@
     }
 
     fn on_timeout(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.drop_shadows(context.now);
-        if self.stalled_by().is_some_and(|by| by <= context.now) {
-            let flow = match self.unsent_attempt(link) {
-                Some(attempt) => self.take_back(attempt, link, context),
-                None => self.pump(link, context),
+        self.drop_ended_names(context.now);
+        if self.write_deadline().is_some_and(|by| by <= context.now) {
+            let flow = match self.unwritten_attempt(link) {
+                Some(attempt) => self.abort_write(attempt, link, context),
+                None => self.write_commands(link, context),
             };
             if flow == ControlFlow::Close {
                 return flow;
             }
         }
-        if let Some((_, probe)) = self.probe_by.take_if(|(by, _)| *by <= context.now) {
-            self.silent = true;
-            self.open.remove(&Self::probe_name(probe));
+        if let Some((_, probe)) = self.probe_deadline.take_if(|(by, _)| *by <= context.now) {
+            self.unresponsive = true;
+            self.open.remove(&Self::probe_rid(probe));
             let broken = Broken { progress: AttemptProgress::Out, cause: "no answer" };
             context.core.probe_ended(context.now, probe, Err(broken));
         }
-        let late = self.connect_by.into_iter().chain(self.line_by()).any(|by| by <= context.now);
-        let idle = self.idle_since().is_some_and(|since| since + self.limits.idle <= context.now);
+        let late = self.connect_deadline.into_iter().chain(self.line_deadline()).any(|by| by <= context.now);
+        let idle = self.idle_since().is_some_and(|since| since + self.limits.idle_timeout <= context.now);
         if late || idle {
-            let up = self.connect_by.is_none();
-            let in_time = if late { CloseCause::Unreadable } else { CloseCause::Idle };
-            link.set_close_cause(if up { in_time } else { CloseCause::NotConnected });
+            let connected = self.connect_deadline.is_none();
+            let cause = if late { CloseCause::Unreadable } else { CloseCause::Idle };
+            link.set_close_cause(if connected { cause } else { CloseCause::NotConnected });
         }
         if late || idle { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
     fn deadline(&self) -> Option<Timestamp> {
-        let idle = self.idle_since().map(|since| since + self.limits.idle);
-        let shadow = self.shadows.front().map(|(at, _)| *at + ENDED_NAME_LASTS + Duration(1));
-        let probe = self.probe_by.map(|(by, _)| by);
-        let due = self.connect_by.into_iter().chain(probe).chain(self.line_by());
-        due.chain(idle).chain(shadow).chain(self.stalled_by()).min()
+        let idle = self.idle_since().map(|since| since + self.limits.idle_timeout);
+        let ended = self.ended_names.front().map(|(at, _)| *at + ENDED_NAME_RETENTION + Duration(1));
+        let probe = self.probe_deadline.map(|(by, _)| by);
+        let due = self.connect_deadline.into_iter().chain(probe).chain(self.line_deadline());
+        due.chain(idle).chain(ended).chain(self.write_deadline()).min()
     }
 
     fn closed(&mut self, link: &Link, context: &mut Context) {
-        let up = self.connect_by.is_none();
-        let waiting: Vec<(bool, Open)> = self
+        let connected = self.connect_deadline.is_none();
+        let waiting: Vec<(bool, OpenEntry)> = self
             .pending
             .drain(..)
             .filter_map(|job| match job {
-                Job::Send { attempt, .. } => Some((false, Open::Attempt(attempt))),
-                Job::Load { load, .. } => Some((false, Open::Load(load))),
-                Job::Probe { probe, .. } => Some((false, Open::Probe(probe))),
+                Job::Send { attempt, .. } => Some((false, OpenEntry::Attempt(attempt))),
+                Job::Load { load, .. } => Some((false, OpenEntry::Load(load))),
+                Job::Probe { probe, .. } => Some((false, OpenEntry::Probe(probe))),
                 Job::Cancel { .. } | Job::Unload { .. } => None,
             })
             .collect();
-        let half = self.writing.take();
-        let mut ends: Vec<(Open, AttemptProgress)> =
+        let interrupted = self.writing.take();
+        let mut ends: Vec<(OpenEntry, AttemptProgress)> =
             waiting.iter().map(|(_, open)| (*open, AttemptProgress::NotSent)).collect();
-        let is = |a: &Open, b: &Open| match (a, b) {
-            (Open::Attempt(a), Open::Attempt(b)) => a == b,
-            (Open::Load(a), Open::Load(b)) => a == b,
-            (Open::Probe(a), Open::Probe(b)) => a == b,
+        let same = |a: &OpenEntry, b: &OpenEntry| match (a, b) {
+            (OpenEntry::Attempt(a), OpenEntry::Attempt(b)) => a == b,
+            (OpenEntry::Load(a), OpenEntry::Load(b)) => a == b,
+            (OpenEntry::Probe(a), OpenEntry::Probe(b)) => a == b,
             _ => false,
         };
         for open in self.open.values() {
-            if waiting.iter().any(|(_, other)| is(open, other)) || matches!(open, Open::Shadow(_)) {
+            if waiting.iter().any(|(_, other)| same(open, other)) || matches!(open, OpenEntry::Ended(_)) {
                 continue;
             }
-            // Bytes that never left our buffer: the line at the worker has no end, so it cannot have run.
-            let partly = half.as_ref().is_some_and(|half| is(half, open)) && link.unwritten_bytes() > 0;
-            ends.push((*open, if partly { AttemptProgress::PartlyWritten } else { AttemptProgress::Out }));
+            // Part of the line never left the output buffer: without its end, the worker cannot have run it.
+            let partly_written = interrupted.as_ref().is_some_and(|interrupted| same(interrupted, open))
+                && link.unwritten_bytes() > 0;
+            ends.push((
+                *open,
+                if partly_written { AttemptProgress::PartlyWritten } else { AttemptProgress::Out },
+            ));
         }
-        let cause = if up { "connection ended" } else { "no connection" };
+        let cause = if connected { "connection closed" } else { "connect failed" };
         for (open, progress) in ends {
             let broken = Broken { progress, cause };
             match open {
-                Open::Attempt(attempt) => context.core.attempt_ended(context.now, attempt, Err(broken)),
-                Open::Load(load) => context.core.load_ended(context.now, load, Err(broken)),
-                Open::Probe(probe) => context.core.probe_ended(context.now, probe, Err(broken)),
-                Open::Shadow(_) => {}
+                OpenEntry::Attempt(attempt) => context.core.attempt_ended(context.now, attempt, Err(broken)),
+                OpenEntry::Load(load) => context.core.load_ended(context.now, load, Err(broken)),
+                OpenEntry::Probe(probe) => context.core.probe_ended(context.now, probe, Err(broken)),
+                OpenEntry::Ended(_) => {}
             }
         }
     }
@@ -468,50 +498,51 @@
         match &job {
             Job::Send { attempt, work, .. } => {
                 self.attempts += 1;
-                self.open.insert(work.reference.clone(), Open::Attempt(*attempt));
+                self.open.insert(work.reference.clone(), OpenEntry::Attempt(*attempt));
                 self.names.insert(*attempt, work.reference.clone());
             }
             Job::Load { load, .. } => {
-                self.open.insert(Self::load_name(*load), Open::Load(*load));
+                self.open.insert(Self::load_rid(*load), OpenEntry::Load(*load));
             }
             Job::Cancel { attempt } => {
                 let Some(name) = self.names.get(attempt).cloned() else { return ControlFlow::Continue };
                 self.attempts -= 1;
-                // Still in line here: it never goes out, and neither does the word to stop it.
+                // Still queued here: neither the attempt nor its cancellation is sent.
                 let waits = |job: &Job| matches!(job, Job::Send { attempt: a, .. } if a == attempt);
-                if let Some(place) = self.pending.iter().position(waits) {
-                    self.pending.remove(place);
+                if let Some(position) = self.pending.iter().position(waits) {
+                    self.pending.remove(position);
                     self.open.remove(&name);
                     self.names.remove(attempt);
                     return ControlFlow::Continue;
                 }
-                // In the output buffer, and not gone whole: what nobody waits for does not begin any more.
-                if self.unsent_attempt(link) == Some(*attempt) {
+                // In the output buffer and not written completely: it must not start, as no client waits for it.
+                if self.unwritten_attempt(link) == Some(*attempt) {
                     self.writing = None;
                     self.open.remove(&name);
                     self.names.remove(attempt);
-                    self.cut = !link.discard_output();
-                    return self.pump(link, context);
+                    self.write_aborted = !link.discard_output();
+                    return self.write_commands(link, context);
                 }
-                self.shadow(name, context.now);
+                self.retain_name(name, context.now);
             }
             Job::Probe { probe, deadline } => {
-                self.open.insert(Self::probe_name(*probe), Open::Probe(*probe));
-                self.probe_by = Some((*deadline, *probe));
+                self.open.insert(Self::probe_rid(*probe), OpenEntry::Probe(*probe));
+                self.probe_deadline = Some((*deadline, *probe));
             }
             Job::Unload { .. } => {}
         }
-        self.idle_since = context.now;
+        self.last_used = context.now;
         self.pending.push_back(job);
-        self.pump(link, context)
+        self.write_commands(link, context)
     }
 
     fn can_accept(&self, reference: Option<&str>) -> bool {
         let free = reference.is_none_or(|name| !self.open.contains_key(name));
-        free && !self.silent
-            && !self.cut
+        free && !self.unresponsive
+            && !self.write_aborted
             && self.attempts < self.limits.multiplex
-            && self.open.len() - self.shadows.len().min(self.open.len()) + self.pending.len() < QUEUE
+            && self.open.len() - self.ended_names.len().min(self.open.len()) + self.pending.len()
+                < MAX_OPEN_COMMANDS
     }
 
     fn next_attempt(&self, link: &Link) -> Option<AttemptId> {
@@ -524,7 +555,7 @@
     }
 
     fn write_next_attempt(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.write(true, link, context)
+        self.write_pending(true, link, context)
     }
 
     fn open_requests(&self) -> usize {
@@ -532,9 +563,10 @@
     }
 
     fn idle_since(&self) -> Option<Timestamp> {
-        let used = self.open.values().any(|open| !matches!(open, Open::Shadow(_)));
-        let idle = self.connect_by.is_none() && self.pending.is_empty() && self.writing.is_none() && !used;
-        idle.then_some(self.idle_since)
+        let used = self.open.values().any(|open| !matches!(open, OpenEntry::Ended(_)));
+        let idle =
+            self.connect_deadline.is_none() && self.pending.is_empty() && self.writing.is_none() && !used;
+        idle.then_some(self.last_used)
     }
 }
 
--- a/src/backend/json_lines/tests.rs
+++ b/src/backend/json_lines/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn lines_are_read() {
+fn replies_are_decoded() {
     let answer = |rid: &str, reply, instances| Ok(WorkerReply::Answer { rid: rid.into(), reply, instances });
-    let alive = |told: &[(&str, f32)]| {
-        let report = told.iter().map(|(name, value)| ((*name).to_owned(), *value)).collect();
+    let alive = |figures: &[(&str, f32)]| {
+        let report = figures.iter().map(|(name, value)| ((*name).to_owned(), *value)).collect();
         Ok(WorkerReply::Alive { rid: "p".into(), report })
     };
     let bad = |rid: Option<&str>, cause| Err(ParseError { rid: rid.map(str::to_owned), cause });
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_other_commands_are_worded() {
+fn commands_other_than_calls_are_encoded() {
     let cases = [
         (JsonLinesCodec.halt("a"), json!({"verb": "halt", "rid": "a"})),
         (
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_call_passes_on_its_fields_unchanged() {
+fn a_call_is_encoded_with_its_fields_unchanged() {
     let work = RequestPayload {
         reference: "9b1f03aa5c7e2d41".into(),
         class: "credit-submit".into(),
--- a/src/backend/jsonrpc.rs
+++ b/src/backend/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! Checkers on Unix sockets: JSON-RPC 2.0, one object a line.
+//! The codec of checkers on Unix sockets: JSON-RPC 2.0, one object per line.
 
 use super::{Codec, ParseError, WorkerReply};
 use crate::interface::{FunctionId, Timestamp};
@@ -7,31 +7,31 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
 
-/// Error codes of a checker; everything else counts as an error after which the request may have run.
+/// Error codes of a checker. After any other code the request may have run.
 pub mod codes {
-    /// The function is not loaded: it never ran.
+    /// The function is not loaded; the request did not run.
     pub const MISS: i64 = -32010;
-    /// Full: it never ran.
+    /// The checker is full; the request did not run.
     pub const FULL: i64 = -32011;
-    /// It was over already: it never ran.
+    /// The deadline had already passed; the request did not run.
     pub const EXPIRED: i64 = -32012;
 }
 
-/// See the module's page.
+/// Encodes commands and decodes replies in the checkers' protocol.
 pub struct CheckerCodec;
 
-fn line(object: &Value) -> Vec<u8> {
+fn encode_line(object: &Value) -> Vec<u8> {
     let mut bytes = object.to_string().into_bytes();
     bytes.push(b'\n');
     bytes
 }
 
 fn request(rid: &str, method: &str, params: &Value) -> Vec<u8> {
-    line(&json!({"jsonrpc": "2.0", "id": rid, "method": method, "params": params}))
+    encode_line(&json!({"jsonrpc": "2.0", "id": rid, "method": method, "params": params}))
 }
 
-fn notice(method: &str, params: &Value) -> Vec<u8> {
-    line(&json!({"jsonrpc": "2.0", "method": method, "params": params}))
+fn notification(method: &str, params: &Value) -> Vec<u8> {
+    encode_line(&json!({"jsonrpc": "2.0", "method": method, "params": params}))
 }
 
 impl Codec for CheckerCodec {
@@ -49,7 +49,7 @@
     }
 
     fn halt(&self, rid: &str) -> Vec<u8> {
-        notice("cancel", &json!({"id": rid}))
+        notification("cancel", &json!({"id": rid}))
     }
 
     fn stage(&self, rid: &str, function: FunctionId, instances: u8) -> Vec<u8> {
@@ -57,7 +57,7 @@
     }
 
     fn purge(&self, function: FunctionId) -> Vec<u8> {
-        notice("unload", &json!({"function": format!("{:016x}", function.0)}))
+        notification("unload", &json!({"function": format!("{:016x}", function.0)}))
     }
 
     fn probe(&self, rid: &str) -> Vec<u8> {
@@ -65,13 +65,13 @@
     }
 
     fn read(&self, line: &[u8]) -> Result<WorkerReply, ParseError> {
-        let unread = |cause| ParseError { rid: None, cause };
-        let parsed: Value = serde_json::from_slice(line).map_err(|_| unread("not JSON"))?;
-        let Value::Object(object) = parsed else { return Err(unread("not an object")) };
-        let Some(Value::String(rid)) = object.get("id") else { return Err(unread("no id of ours")) };
-        let bad = |cause| ParseError { rid: Some(rid.clone()), cause };
+        let without_id = |cause| ParseError { rid: None, cause };
+        let parsed: Value = serde_json::from_slice(line).map_err(|_| without_id("not JSON"))?;
+        let Value::Object(object) = parsed else { return Err(without_id("not an object")) };
+        let Some(Value::String(rid)) = object.get("id") else { return Err(without_id("no id of ours")) };
+        let parse_error = |cause| ParseError { rid: Some(rid.clone()), cause };
         if object.get("jsonrpc").and_then(Value::as_str) != Some("2.0") {
-            return Err(bad("not JSON-RPC 2.0"));
+            return Err(parse_error("not JSON-RPC 2.0"));
         }
         let rid = rid.clone();
         match (object.get("result"), object.get("error")) {
@@ -85,9 +85,9 @@
                 let body = match result.get("body") {
                     None if instances.is_some() => vec![],
                     Some(Value::String(text)) => {
-                        STANDARD.decode(text).map_err(|_| bad("body is not base64"))?
+                        STANDARD.decode(text).map_err(|_| parse_error("body is not base64"))?
                     }
-                    _ => return Err(bad("no body")),
+                    _ => return Err(parse_error("no body")),
                 };
                 Ok(WorkerReply::Answer { rid, reply: Reply::Ok(body), instances })
             }
@@ -97,12 +97,12 @@
                     Some(codes::FULL) => Reply::Full,
                     Some(codes::EXPIRED) => Reply::Expired,
                     Some(_) => Reply::Error,
-                    None => return Err(bad("an error without a code")),
+                    None => return Err(parse_error("an error without a code")),
                 };
                 let instances = error.pointer("/data/copies").and_then(Value::as_u64).map(|n| n as u32);
                 Ok(WorkerReply::Answer { rid, reply, instances })
             }
-            _ => Err(bad("neither a result nor an error")),
+            _ => Err(parse_error("neither a result nor an error")),
         }
     }
 }
--- a/src/backend/jsonrpc/tests.rs
+++ b/src/backend/jsonrpc/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn commands_are_worded() {
+fn commands_are_encoded() {
     let (reference, class, key) = ("9b1f".to_owned(), "c".to_owned(), Some("k".to_owned()));
     let work = RequestPayload { reference, class, function: FunctionId(0x7f), key, body: b"hi".to_vec() };
     let name = "000000000000007f";
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn answers_are_read() {
+fn replies_are_decoded() {
     let answer = |reply, instances| Ok(WorkerReply::Answer { rid: "a".into(), reply, instances });
     let bad = |rid: Option<&str>, cause| Err(ParseError { rid: rid.map(str::to_owned), cause });
     let cases: Vec<(&str, Result<WorkerReply, ParseError>)> = vec![
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Back ends: connections to workers, with one codec for workers and one for JSON-RPC checkers.
+//! Back ends: the connections to workers, with a JSON-lines codec and a JSON-RPC codec for checkers.
 
 mod codec;
 mod connection;
--- a/src/daemon/accept.rs
+++ b/src/daemon/accept.rs
@@ -185,7 +185,7 @@
             return warn!(why = "max_clients", "accept dropped");
         }
         let connection = Box::new(RpcConnection::new(now, front.max_line));
-        let limits = RpcConnection::limits(front.max_line);
+        let limits = RpcConnection::buffer_limits(front.max_line);
         self.rpc_clients.extend(reactor.add(stream, connection, true, limits, &mut self.core));
     }
 }
--- a/src/front/frames.rs
+++ b/src/front/frames.rs
@@ -1,4 +1,4 @@
-//! The platform's front: binary frames over TCP. A pure codec, and the connection object over it.
+//! The platform's front: binary frames over TCP. A codec without state, and the connection that uses it.
 
 use super::{
     ANSWER_TRANSIT_TIME, LINGER_TIMEOUT, MAX_BODY_BYTES, MAX_OPEN_REQUESTS, MAX_UNREAD_OUTPUT_BYTES,
@@ -10,37 +10,37 @@
 use crate::request::CloseCause;
 use std::collections::BTreeSet;
 
-/// Largest length field.
+/// Largest value of a frame's length field.
 pub const MAX_FRAME_LENGTH: usize = 262_144;
-/// Largest length of a frame that can be of use: a body and its fields. A longer one is not kept, for hundreds
-/// of connections may bring one each: its request has failed once its head is known, and the rest is passed over.
+/// Largest length of a usable frame: a body and its fields. A longer frame is not buffered, because hundreds of
+/// connections may each send one: its request fails once its header is known, and the rest is skipped.
 pub const MAX_USABLE_FRAME_LENGTH: usize = 32 << 10;
-/// Buffers of a client's connection: a usable frame, and output that waits.
+/// Buffer limits of a client's connection: one usable frame as input, and the unread output.
 pub const BUFFER_LIMITS: BufferLimits =
     BufferLimits { input: MAX_USABLE_FRAME_LENGTH + 4, output: MAX_UNREAD_OUTPUT_BYTES };
-/// A connection on which nothing is open and nothing comes is closed after this. Clients close theirs after
-/// 4 s, so no request crosses it.
+/// A connection without open requests and input is closed after this time. Clients close theirs after 4 s, so that no
+/// request crosses with the close.
 pub const IDLE_TIMEOUT: Duration = Duration::millis(5_000);
-/// The same for one that has never sent a whole frame: some clients open connections by hundreds and send nothing.
+/// The same limit until the first complete frame: some clients open hundreds of connections and send nothing.
 pub const FIRST_FRAME_TIMEOUT: Duration = Duration::millis(2_600);
 
-/// Types of frames.
+/// Frame types.
 pub mod kinds {
     /// A request.
     pub const REQUEST: u8 = 0;
-    /// An answer.
+    /// The answer to a request.
     pub const ANSWER: u8 = 1;
-    /// Nobody waits any more.
+    /// The client no longer waits for this request.
     pub const CANCEL: u8 = 2;
-    /// Is the scheduler ready?
+    /// Asks whether the scheduler is ready.
     pub const READY: u8 = 6;
-    /// The answer to that.
+    /// The answer to [`READY`].
     pub const READINESS: u8 = 7;
-    /// No new request on this connection.
+    /// Asks the client to send no new request on this connection.
     pub const LEAVE: u8 = 9;
 }
 
-/// Codes of answers.
+/// Answer codes.
 pub mod codes {
     /// Served, or ready.
     pub const SERVED: u8 = 79;
@@ -50,26 +50,26 @@
     pub const FAILED: u8 = 69;
 }
 
-/// A frame in its buffer.
+/// A frame, borrowed from its buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// Its type.
+    /// The frame's type.
     pub kind: u8,
-    /// Its stream.
+    /// The number of the stream that the frame belongs to.
     pub stream: u32,
-    /// The rest.
+    /// The bytes after the header.
     pub payload: &'a [u8],
 }
 
-/// Reads the first frame of a buffer with the bytes it took; `Ok(None)` where it is not whole yet.
+/// Reads the first frame of a buffer. Returns it with its size in bytes; `Ok(None)` if it is still incomplete.
 ///
 /// # Errors
-/// The frame's length is out of range; the connection cannot go on.
+/// The frame's length is out of range; the connection has to be closed.
 pub fn read_frame(bytes: &[u8]) -> Result<Option<(Frame<'_>, usize)>, &'static str> {
-    let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
+    let Some(header) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*header) as usize;
     if !(5..=MAX_FRAME_LENGTH).contains(&length) {
-        return Err("length out of range");
+        return Err("frame length out of range");
     }
     let Some(rest) = bytes.get(4..4 + length) else { return Ok(None) };
     let stream = u32::from_be_bytes([rest[1], rest[2], rest[3], rest[4]]);
@@ -85,13 +85,13 @@
     payload.iter().for_each(|part| out.extend(*part));
 }
 
-/// Fields as they stand, and what follows them.
+/// Fields in their order as name and value, and the bytes that follow them.
 pub type Fields<'a> = (Vec<(&'a str, &'a str)>, &'a [u8]);
 
-/// Reads fields.
+/// Decodes fields.
 ///
 /// # Errors
-/// A field is cut short, or its name or value is no text.
+/// A field is truncated, or its name or value is not UTF-8.
 pub fn read_fields(mut bytes: &[u8]) -> Result<Fields<'_>, &'static str> {
     fn take<'a>(bytes: &mut &'a [u8], count: usize) -> Result<&'a [u8], &'static str> {
         let (part, rest) = bytes.split_at_checked(count).ok_or("fields cut short")?;
@@ -111,7 +111,7 @@
     Ok((fields, bytes))
 }
 
-/// Writes fields.
+/// Encodes fields.
 pub fn fields(list: &[(&str, &str)]) -> Vec<u8> {
     let mut out = vec![list.len() as u8];
     for (name, value) in list {
@@ -123,51 +123,54 @@
     out
 }
 
-/// Why a request's payload makes no request.
+/// Why a payload is not a valid request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The frame itself cannot be read: the connection ends.
+    /// The payload cannot be decoded: the connection is closed.
     Malformed(&'static str),
-    /// It can be read but not be used: this request has failed.
+    /// The payload can be decoded but has an invalid field: only this request fails.
     Unusable(&'static str),
 }
 
-/// Reads a request, whose time counts from when it came.
+/// Decodes a request. Its deadline counts from its arrival.
 ///
 /// # Errors
-/// [`RequestError`] says what is wrong and whether the request can still be answered.
+/// [`RequestError`] says what is wrong, and whether only the request fails or the connection as well.
 pub fn read_request(
     payload: &[u8],
     owner: Owner,
     arrived: Timestamp,
 ) -> Result<IncomingRequest, RequestError> {
     let (list, body) = read_fields(payload).map_err(RequestError::Malformed)?;
-    let twice = |n: usize| list[..n].iter().any(|(name, _)| *name == list[n].0);
-    if (1..list.len()).any(twice) {
+    let duplicate = |n: usize| list[..n].iter().any(|(name, _)| *name == list[n].0);
+    if (1..list.len()).any(duplicate) {
         return Err(RequestError::Unusable("a field stands twice"));
     }
     let field = |name: &str| list.iter().find(|(n, _)| *n == name).map(|(_, value)| *value);
-    let need = |name: &str, why| field(name).ok_or(RequestError::Unusable(why));
-    let class = need("service", "no service")?;
-    let reference = need("ref", "no ref")?;
+    let required = |name: &str, why| field(name).ok_or(RequestError::Unusable(why));
+    let class = required("service", "no service")?;
+    let reference = required("ref", "no ref")?;
     if read_function(reference).is_none() {
         return Err(RequestError::Unusable("ref is not 16 hex digits"));
     }
-    let function = read_function(need("lookup", "no lookup")?);
+    let function = read_function(required("lookup", "no lookup")?);
     let function = FunctionId(function.ok_or(RequestError::Unusable("lookup is not 16 hex digits"))?);
-    let allow = need("allow", "no allow")?;
-    let digits = allow.bytes().all(|b| b.is_ascii_digit());
-    let allow =
-        allow.parse::<u64>().ok().filter(|_| digits).ok_or(RequestError::Unusable("allow is no number"))?;
+    let allow = required("allow", "no allow")?;
+    let only_digits = allow.bytes().all(|b| b.is_ascii_digit());
+    let allow = allow
+        .parse::<u64>()
+        .ok()
+        .filter(|_| only_digits)
+        .ok_or(RequestError::Unusable("allow is not a number"))?;
     if body.len() > MAX_BODY_BYTES {
         return Err(RequestError::Unusable("body too large"));
     }
     let (mut memory_mb, mut concurrency, mut load_time) = (0.0, 1.0, None);
     for part in field("spec").unwrap_or("").split(';').filter(|part| !part.is_empty()) {
-        let (name, value) = part.split_once(':').ok_or(RequestError::Unusable("odd spec"))?;
-        let value: f64 = value.parse().map_err(|_| RequestError::Unusable("odd spec"))?;
+        let (name, value) = part.split_once(':').ok_or(RequestError::Unusable("invalid spec"))?;
+        let value: f64 = value.parse().map_err(|_| RequestError::Unusable("invalid spec"))?;
         if !value.is_finite() || value < 0.0 {
-            return Err(RequestError::Unusable("odd spec"));
+            return Err(RequestError::Unusable("invalid spec"));
         }
         match name {
             "memory_mb" => memory_mb = value,
@@ -192,7 +195,7 @@
     })
 }
 
-/// Writes an answer.
+/// Appends an answer's frame.
 pub fn put_answer(stream: u32, verdict: &Verdict, out: &mut Vec<u8>) {
     match verdict {
         Verdict::Served(body) => put_frame(kinds::ANSWER, stream, &[&[codes::SERVED, 0], body], out),
@@ -208,23 +211,23 @@
     }
 }
 
-/// Stream numbers that have been used, with a floor below which all have.
+/// The stream numbers that have been used: all up to `floor`, and those in `above`.
 #[derive(Default)]
-struct Seen {
+struct UsedStreams {
     floor: u32,
     above: BTreeSet<u32>,
 }
 
-impl Seen {
-    /// Notes a number; false if it is not new.
-    fn new_stream(&mut self, stream: u32) -> bool {
+impl UsedStreams {
+    /// Marks a number as used; false if it already was.
+    fn mark_used(&mut self, stream: u32) -> bool {
         if stream <= self.floor || !self.above.insert(stream) {
             return false;
         }
         while self.above.remove(&(self.floor + 1)) {
             self.floor += 1;
         }
-        // Numbers need not come in order, but gaps are not remembered for ever.
+        // Numbers need not arrive in order, but the number of remembered gaps is limited.
         if self.above.len() > 4096
             && let Some(first) = self.above.pop_first()
         {
@@ -234,43 +237,43 @@
     }
 }
 
-/// A client's connection.
+/// A client's connection to the platform's front.
 pub struct FrameConnection {
     open: BTreeSet<u32>,
-    seen: Seen,
-    last: Timestamp,
-    /// When anything came last: a request that is being written slowly is not taken for one that never will be.
-    last_seen: Timestamp,
-    leaving: bool,
-    /// A whole frame has come.
-    used: bool,
-    /// What is still to be passed over of a frame that is too long.
-    skip: usize,
-    /// Until when the frame that has begun must be whole.
-    whole_by: Option<Timestamp>,
-    /// Ends by then even if the client does not read.
-    finish_by: Option<Timestamp>,
+    used_streams: UsedStreams,
+    last_activity: Timestamp,
+    /// When input was last received, so that a connection on which a request arrives slowly does not count as idle.
+    last_received: Timestamp,
+    leave_sent: bool,
+    /// A complete frame has been received.
+    received_frame: bool,
+    /// Bytes of an oversized frame that are still to be skipped.
+    skip_bytes: usize,
+    /// Time by which the incomplete frame must be complete.
+    message_deadline: Option<Timestamp>,
+    /// Time at which a finishing connection is closed even if the client has not read the output.
+    finish_deadline: Option<Timestamp>,
 }
 
 impl FrameConnection {
-    /// A connection that has just been accepted.
+    /// The state of a newly accepted connection.
     pub fn new(now: Timestamp) -> FrameConnection {
-        let (open, seen) = (BTreeSet::new(), Seen::default());
+        let (open, used_streams) = (BTreeSet::new(), UsedStreams::default());
         FrameConnection {
             open,
-            seen,
-            last: now,
-            last_seen: now,
-            leaving: false,
-            used: false,
-            skip: 0,
-            whole_by: None,
-            finish_by: None,
+            used_streams,
+            last_activity: now,
+            last_received: now,
+            leave_sent: false,
+            received_frame: false,
+            skip_bytes: 0,
+            message_deadline: None,
+            finish_deadline: None,
         }
     }
 
-    /// Acts on a frame, whose last byte came at that time.
-    fn frame(
+    /// Handles a frame whose last byte arrived at `arrived`.
+    fn handle_frame(
         &mut self,
         frame: &Frame,
         arrived: Timestamp,
@@ -279,8 +282,8 @@
     ) -> Result<(), &'static str> {
         match frame.kind {
             kinds::REQUEST => {
-                if frame.stream == 0 || !self.seen.new_stream(frame.stream) {
-                    return Err("stream is not new");
+                if frame.stream == 0 || !self.used_streams.mark_used(frame.stream) {
+                    return Err("stream number already used");
                 }
                 let owner = Owner { connection: link.id(), stream: u64::from(frame.stream) };
                 let call = match read_request(frame.payload, owner, arrived) {
@@ -316,27 +319,27 @@
                 put_frame(kinds::READINESS, frame.stream, &[&[code, 0]], &mut bytes);
                 link.enqueue(&bytes);
             }
-            _ => return Err("unknown type"),
+            _ => return Err("unknown frame type"),
         }
         Ok(())
     }
 
-    /// The size of the frame that begins here, if it is too long to be of use and its head is there: then it
-    /// has had its answer.
-    fn too_long(
+    /// If the frame that starts here is oversized and its header has been received, answers it and returns its size;
+    /// otherwise 0.
+    fn reject_oversized(
         &mut self,
         bytes: &[u8],
         link: &mut Link,
         context: &mut Context,
     ) -> Result<usize, &'static str> {
-        let Some(head) = bytes.first_chunk::<9>() else { return Ok(0) };
-        let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
+        let Some(header) = bytes.first_chunk::<9>() else { return Ok(0) };
+        let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
         if length <= MAX_USABLE_FRAME_LENGTH {
             return Ok(0);
         }
-        let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
-        if head[4] != kinds::REQUEST || stream == 0 || !self.seen.new_stream(stream) {
-            return Err("a long frame that is no request");
+        let stream = u32::from_be_bytes([header[5], header[6], header[7], header[8]]);
+        if header[4] != kinds::REQUEST || stream == 0 || !self.used_streams.mark_used(stream) {
+            return Err("oversized frame is not a request");
         }
         context.core.count_rejected_by_listener(None, &Verdict::Failed);
         let mut bytes = Vec::new();
@@ -345,21 +348,23 @@
         Ok(4 + length)
     }
 
-    /// Whatever is open here will find nobody to answer to.
+    /// Withdraws all open requests of the connection.
     fn withdraw_all(&mut self, link: &Link, context: &mut Context) {
         for stream in std::mem::take(&mut self.open) {
             context.core.withdraw(context.now, Owner { connection: link.id(), stream: u64::from(stream) });
         }
     }
 
-    /// When the connection is closed as idle; one on which a frame has begun is not.
-    fn unused_by(&self) -> Option<Timestamp> {
-        let idle = self.open.is_empty() && self.whole_by.is_none();
-        idle.then_some(self.last + if self.used { IDLE_TIMEOUT } else { FIRST_FRAME_TIMEOUT })
+    /// When the connection is closed as idle; `None` while requests are open or a frame is incomplete.
+    fn idle_deadline(&self) -> Option<Timestamp> {
+        let idle = self.open.is_empty() && self.message_deadline.is_none();
+        idle.then_some(
+            self.last_activity + if self.received_frame { IDLE_TIMEOUT } else { FIRST_FRAME_TIMEOUT },
+        )
     }
 
-    /// Tells the client what is wrong; the connection ends once that has gone out.
-    fn malformed(&mut self, why: &str, link: &mut Link, context: &mut Context) -> ControlFlow {
+    /// Sends the answer for malformed input on stream 0; the connection finishes once it has been written.
+    fn close_malformed(&mut self, why: &str, link: &mut Link, context: &mut Context) -> ControlFlow {
         context.core.counters().malformed += 1;
         if context.core.may_log(context.now) {
             tracing::warn!(front = "frames", connection = link.id(), why, "malformed");
@@ -369,7 +374,7 @@
         link.enqueue(&bytes);
         self.withdraw_all(link, context);
         link.set_close_cause(CloseCause::Unreadable);
-        self.finish_by = Some(context.now + LINGER_TIMEOUT);
+        self.finish_deadline = Some(context.now + LINGER_TIMEOUT);
         ControlFlow::Finish
     }
 }
@@ -385,30 +390,30 @@
     }
 
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.last_seen = context.now;
+        self.last_received = context.now;
         let bytes = std::mem::take(&mut link.input);
-        let mut from = self.skip.min(bytes.len());
-        self.skip -= from;
-        // What is still passed over belongs to the frame that began before.
-        let mut begun = self.skip == 0 && from > 0;
+        let mut from = self.skip_bytes.min(bytes.len());
+        self.skip_bytes -= from;
+        // What is still being skipped belongs to a frame that started earlier.
+        let mut frame_started = self.skip_bytes == 0 && from > 0;
         let error = loop {
             match read_frame(&bytes[from..]) {
-                _ if self.skip > 0 => break None,
-                Ok(None) => match self.too_long(&bytes[from..], link, context) {
+                _ if self.skip_bytes > 0 => break None,
+                Ok(None) => match self.reject_oversized(&bytes[from..], link, context) {
                     Ok(0) => break None,
                     Ok(size) => {
-                        self.skip = size.saturating_sub(bytes.len() - from);
+                        self.skip_bytes = size.saturating_sub(bytes.len() - from);
                         from = bytes.len().min(from + size);
-                        begun = true;
+                        frame_started = true;
                     }
                     Err(why) => break Some(why),
                 },
                 Ok(Some((frame, size))) => {
                     from += size;
-                    begun = true;
-                    (self.used, self.last) = (true, context.now);
+                    frame_started = true;
+                    (self.received_frame, self.last_activity) = (true, context.now);
                     let arrived = link.arrival_time(bytes.len() - from);
-                    if let Err(why) = self.frame(&frame, arrived, link, context) {
+                    if let Err(why) = self.handle_frame(&frame, arrived, link, context) {
                         break Some(why);
                     }
                 }
@@ -417,36 +422,36 @@
         };
         link.input = bytes;
         link.consume(from);
-        self.whole_by = if link.input.is_empty() && self.skip == 0 {
+        self.message_deadline = if link.input.is_empty() && self.skip_bytes == 0 {
             None
         } else {
-            // What is left after a complete frame has only just begun.
-            self.whole_by.filter(|_| !begun).or(Some(context.now + MESSAGE_TIMEOUT))
+            // What follows a complete frame has only just started to arrive.
+            self.message_deadline.filter(|_| !frame_started).or(Some(context.now + MESSAGE_TIMEOUT))
         };
         match error {
-            Some(why) => self.malformed(why, link, context),
-            // A client that closes waits for nothing more.
+            Some(why) => self.close_malformed(why, link, context),
+            // A client that closes its half waits for no more answers.
             None if link.peer_closed => ControlFlow::Close,
             None => ControlFlow::Continue,
         }
     }
 
     fn on_timeout(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        if self.finish_by.is_none() && self.whole_by.is_some_and(|by| by <= context.now) {
-            return self.malformed("a frame without an end", link, context);
+        if self.finish_deadline.is_none() && self.message_deadline.is_some_and(|by| by <= context.now) {
+            return self.close_malformed("frame not completed in time", link, context);
         }
-        let idle = self.unused_by().is_some_and(|by| by <= context.now);
-        let over = self.finish_by.is_some_and(|by| by <= context.now);
+        let idle = self.idle_deadline().is_some_and(|by| by <= context.now);
+        let expired = self.finish_deadline.is_some_and(|by| by <= context.now);
         if idle {
             link.set_close_cause(CloseCause::Idle);
         }
-        if idle || over { ControlFlow::Close } else { ControlFlow::Continue }
+        if idle || expired { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
     fn deadline(&self) -> Option<Timestamp> {
-        let idle = self.unused_by();
-        let whole = self.whole_by.filter(|_| self.finish_by.is_none());
-        self.finish_by.into_iter().chain(whole).chain(idle).min()
+        let idle = self.idle_deadline();
+        let message = self.message_deadline.filter(|_| self.finish_deadline.is_none());
+        self.finish_deadline.into_iter().chain(message).chain(idle).min()
     }
 
     fn closed(&mut self, link: &Link, context: &mut Context) {
@@ -461,19 +466,19 @@
         context: &mut Context,
     ) -> ControlFlow {
         let stream = stream as u32;
-        // Whoever withdrew is owed nothing.
+        // A withdrawn request gets no answer.
         if self.open.remove(&stream) {
             let mut bytes = Vec::new();
             put_answer(stream, &answer.verdict, &mut bytes);
             link.enqueue(&bytes);
-            self.last = context.now;
+            self.last_activity = context.now;
         }
         ControlFlow::Continue
     }
 
-    fn send_leave(&mut self, link: &mut Link, _hub: &mut Context) -> ControlFlow {
-        if !self.leaving {
-            self.leaving = true;
+    fn send_leave(&mut self, link: &mut Link, _context: &mut Context) -> ControlFlow {
+        if !self.leave_sent {
+            self.leave_sent = true;
             let mut bytes = Vec::new();
             put_frame(kinds::LEAVE, 0, &[], &mut bytes);
             link.enqueue(&bytes);
@@ -482,15 +487,16 @@
     }
 
     fn has_partial_request(&self) -> bool {
-        self.whole_by.is_some()
+        self.message_deadline.is_some()
     }
 
     fn may_receive_request(&self) -> bool {
-        self.finish_by.is_none() && (self.whole_by.is_some() || !self.used)
+        self.finish_deadline.is_none() && (self.message_deadline.is_some() || !self.received_frame)
     }
 
     fn idle_since(&self) -> Option<Timestamp> {
-        (self.open.is_empty() && self.finish_by.is_none()).then_some(self.last.max(self.last_seen))
+        (self.open.is_empty() && self.finish_deadline.is_none())
+            .then_some(self.last_activity.max(self.last_received))
     }
 }
 
--- a/src/front/frames/tests.rs
+++ b/src/front/frames/tests.rs
@@ -3,7 +3,7 @@
 const OWNER: Owner = Owner { connection: 1, stream: 1 };
 
 #[test]
-fn frames_are_read_whole_or_not_at_all() {
+fn only_complete_frames_of_valid_length_are_read() {
     let mut whole = Vec::new();
     put_frame(2, 7, &[], &mut whole);
     put_frame(0, 8, &[b"xyz"], &mut whole);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn requests_are_read() {
+fn requests_are_decoded() {
     let good = [
         ("service", "call"),
         ("ref", "9b1f03aa5c7e2d41"),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn answers_are_written() {
+fn answers_are_encoded() {
     let cases: Vec<(Verdict, Vec<u8>)> = vec![
         (Verdict::Served(b"ok".to_vec()), vec![79, 0, b'o', b'k']),
         (Verdict::Refused { cooldown: Duration(0) }, vec![66, 0]),
@@ -94,9 +94,10 @@
 }
 
 #[test]
-fn a_stream_number_is_new_once() {
-    let mut seen = Seen::default();
-    let got: Vec<bool> = [1, 3, 2, 3, 1, 4, u32::MAX, u32::MAX].iter().map(|n| seen.new_stream(*n)).collect();
+fn a_stream_number_can_be_used_once() {
+    let mut used_streams = UsedStreams::default();
+    let got: Vec<bool> =
+        [1, 3, 2, 3, 1, 4, u32::MAX, u32::MAX].iter().map(|n| used_streams.mark_used(*n)).collect();
     assert_eq!(got, [true, true, true, false, false, true, true, false]);
-    assert_eq!(seen.floor, 4);
+    assert_eq!(used_streams.floor, 4);
 }
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! The second front: JSON-RPC 2.0 over Unix sockets, one object or batch a line.
+//! The second front: JSON-RPC 2.0 over Unix sockets, one object or batch per line.
 //!
 //! | method | params | result |
 //! | --- | --- | --- |
@@ -7,8 +7,8 @@
 //! | `cancel` | `id` of a request or chain on this connection; a notification | none; the request ends with [`codes::CANCELLED`] |
 //! | `ready` | none | `{"ready": BOOL}` |
 //!
-//! A `call` notification is not taken: nobody could be told how it ended. A client that closes, or closes the
-//! half it writes on, waits for nothing more: its requests are withdrawn.
+//! A `call` notification is ignored, because its outcome could not be reported. When a client closes its connection or
+//! the half on which it writes, its requests are withdrawn.
 
 mod codec;
 
@@ -30,9 +30,9 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-struct Open {
+struct OpenRequest {
     id: Value,
-    /// The batch whose one reply this answer belongs to.
+    /// The batch whose reply includes this request's response.
     batch: Option<u64>,
 }
 
@@ -41,80 +41,86 @@
     replies: Vec<Value>,
 }
 
-/// A client's connection.
+/// A client's connection to the JSON-RPC front.
 pub struct RpcConnection {
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenRequest>,
     batches: BTreeMap<u64, Batch>,
-    next: u64,
-    line_limit: usize,
-    /// The rest of a line that was too long is passed over.
+    next_number: u64,
+    max_line_bytes: usize,
+    /// The rest of an oversized line is being skipped.
     skipping: bool,
-    last: Timestamp,
-    /// Until when the line that has begun must have ended.
-    whole_by: Option<Timestamp>,
-    finish_by: Option<Timestamp>,
+    last_activity: Timestamp,
+    /// Time by which the incomplete line must end.
+    message_deadline: Option<Timestamp>,
+    finish_deadline: Option<Timestamp>,
 }
 
 impl RpcConnection {
-    /// A connection that has just been accepted, with the operator's limit on lines.
-    pub fn new(now: Timestamp, line_limit: usize) -> RpcConnection {
+    /// The state of a newly accepted connection, with the operator's limit on the length of a line.
+    pub fn new(now: Timestamp, max_line_bytes: usize) -> RpcConnection {
         RpcConnection {
             open: BTreeMap::new(),
             batches: BTreeMap::new(),
-            next: 1,
-            line_limit,
+            next_number: 1,
+            max_line_bytes,
             skipping: false,
-            last: now,
-            whole_by: None,
-            finish_by: None,
+            last_activity: now,
+            message_deadline: None,
+            finish_deadline: None,
         }
     }
 
-    /// Buffers of such a connection.
-    pub fn limits(line_limit: usize) -> BufferLimits {
-        BufferLimits { input: line_limit + 1, output: MAX_UNREAD_OUTPUT_BYTES }
+    /// Buffer limits of a connection with this limit on the length of a line.
+    pub fn buffer_limits(max_line_bytes: usize) -> BufferLimits {
+        BufferLimits { input: max_line_bytes + 1, output: MAX_UNREAD_OUTPUT_BYTES }
     }
 
     fn send(&mut self, batch: Option<u64>, reply: Value, link: &mut Link) {
-        let Some(number) = batch else { return put(link, &reply) };
+        let Some(number) = batch else { return write_line(link, &reply) };
         let Some(entry) = self.batches.get_mut(&number) else { return };
         entry.replies.push(reply);
-        self.answered(number, link);
+        self.count_reply(number, link);
     }
 
-    /// One fewer owed in a batch; its reply goes out once all have come.
-    fn answered(&mut self, number: u64, link: &mut Link) {
+    /// Counts one response of a batch as done; sends the batch's reply once all are.
+    fn count_reply(&mut self, number: u64, link: &mut Link) {
         let Some(batch) = self.batches.get_mut(&number) else { return };
         batch.outstanding -= 1;
         if batch.outstanding == 0
             && let Some(batch) = self.batches.remove(&number)
             && !batch.replies.is_empty()
         {
-            put(link, &Value::Array(batch.replies));
+            write_line(link, &Value::Array(batch.replies));
         }
     }
 
-    fn line(&mut self, line: &[u8], link: &mut Link, context: &mut Context) {
+    fn handle_line(&mut self, line: &[u8], link: &mut Link, context: &mut Context) {
         if line.iter().all(u8::is_ascii_whitespace) {
             return;
         }
         match read_line(line) {
-            ParsedLine::One(request) => self.request(request, None, link, context),
+            ParsedLine::One(request) => self.handle_request(request, None, link, context),
             ParsedLine::Batch(requests) => {
-                let number = self.next;
-                self.next += 1;
-                // One more is owed until all have been read: answers may come while they are.
+                let number = self.next_number;
+                self.next_number += 1;
+                // One more than the requests, so that answers that arrive while they are read don't complete the batch.
                 let outstanding = 1 + requests.iter().filter(|r| has_reply(r)).count();
                 self.batches.insert(number, Batch { outstanding, replies: vec![] });
                 for request in requests {
-                    self.request(request, Some(number), link, context);
+                    self.handle_request(request, Some(number), link, context);
                 }
-                self.answered(number, link);
+                self.count_reply(number, link);
             }
         }
     }
 
-    fn request(&mut self, request: Request, batch: Option<u64>, link: &mut Link, context: &mut Context) {
+    fn handle_request(
+        &mut self,
+        request: Request,
+        batch: Option<u64>,
+        link: &mut Link,
+        context: &mut Context,
+    ) {
         match request {
             Request::Nothing => {}
             Request::Reply(reply) => {
@@ -134,12 +140,12 @@
                     self.send(open.batch, error(&open.id, codes::CANCELLED, "cancelled", None), link);
                 }
             }
-            Request::Call(id, params) => self.call(id, *params, batch, link, context),
-            Request::Chain(id, params) => self.chain(id, *params, batch, link, context),
+            Request::Call(id, params) => self.start_call(id, *params, batch, link, context),
+            Request::Chain(id, params) => self.start_chain(id, *params, batch, link, context),
         }
     }
 
-    fn chain(
+    fn start_chain(
         &mut self,
         id: Value,
         params: ChainParams,
@@ -147,27 +153,30 @@
         link: &mut Link,
         context: &mut Context,
     ) {
-        let Some(owner) = self.place(&id, None, batch, link, context) else { return };
-        // What can only be known here is said before anything starts.
+        let Some(owner) = self.reserve(&id, None, batch, link, context) else { return };
+        // Classes can only be checked here, and an invalid step is reported before anything starts.
         let classes: &dyn Classes = context.core.site();
-        let odd = params.steps.iter().enumerate().find_map(|(n, step)| match classes.class(&step.class) {
-            None => Some(format!("steps[{n}]: the class is not known")),
-            Some((_, Some(_))) if params.key.is_none() => Some(format!("steps[{n}]: its class needs a key")),
-            Some(_) => None,
-        });
-        if let Some(why) = odd {
+        let invalid =
+            params.steps.iter().enumerate().find_map(|(n, step)| match classes.class(&step.class) {
+                None => Some(format!("steps[{n}]: the class is not known")),
+                Some((_, Some(_))) if params.key.is_none() => {
+                    Some(format!("steps[{n}]: its class needs a key"))
+                }
+                Some(_) => None,
+            });
+        if let Some(why) = invalid {
             context.core.counters().malformed += 1;
             return self.send(batch, error(&id, codes::INVALID_PARAMS, &why, None), link);
         }
-        self.open.insert(owner.stream, Open { id, batch });
+        self.open.insert(owner.stream, OpenRequest { id, batch });
         let ChainParams { steps, allow_ms, key } = params;
         context
             .core
             .chain(context.now, Chain { owner, key, deadline: deadline(arrived(link), allow_ms), steps });
     }
 
-    /// A place for a request or a chain, or its answer where there is none.
-    fn place(
+    /// Reserves a stream number for a request or a chain. If it cannot be accepted, sends the error response.
+    fn reserve(
         &mut self,
         id: &Value,
         class: Option<&str>,
@@ -175,7 +184,7 @@
         link: &mut Link,
         context: &mut Context,
     ) -> Option<Owner> {
-        // Two open requests of one id could not be told apart, neither by the client nor by a cancel.
+        // Two open requests with one id could not be told apart by the client or by a `cancel`.
         if self.open.values().any(|open| open.id == *id) {
             self.send(batch, error(id, codes::INVALID_REQUEST, "id is in use", None), link);
             return None;
@@ -186,11 +195,11 @@
             self.send(batch, response(id, &Answer { verdict, expired: false }), link);
             return None;
         }
-        self.next += 1;
-        Some(Owner { connection: link.id(), stream: self.next - 1 })
+        self.next_number += 1;
+        Some(Owner { connection: link.id(), stream: self.next_number - 1 })
     }
 
-    fn call(
+    fn start_call(
         &mut self,
         id: Value,
         params: Params,
@@ -198,15 +207,15 @@
         link: &mut Link,
         context: &mut Context,
     ) {
-        let Some(owner) = self.place(&id, Some(&params.step.class), batch, link, context) else { return };
-        self.open.insert(owner.stream, Open { id, batch });
-        let made = || format!("{:08x}{:08x}", owner.connection as u32, owner.stream as u32);
+        let Some(owner) = self.reserve(&id, Some(&params.step.class), batch, link, context) else { return };
+        self.open.insert(owner.stream, OpenRequest { id, batch });
+        let generated = || format!("{:08x}{:08x}", owner.connection as u32, owner.stream as u32);
         let Step { class, function, memory_mb, concurrency, load_time, body } = params.step;
         context.core.submit(
             context.now,
             IncomingRequest {
                 owner,
-                reference: params.reference.unwrap_or_else(made),
+                reference: params.reference.unwrap_or_else(generated),
                 class,
                 function,
                 key: params.key,
@@ -219,8 +228,8 @@
         );
     }
 
-    /// A request or a chain has ended; whoever withdrew it is owed nothing.
-    fn over(
+    /// Sends the response of a request or a chain that has ended, unless it was withdrawn.
+    fn finish_request(
         &mut self,
         stream: u64,
         reply: impl Fn(&Value) -> Value,
@@ -228,40 +237,41 @@
         context: &Context,
     ) -> ControlFlow {
         if let Some(open) = self.open.remove(&stream) {
-            self.last = context.now;
+            self.last_activity = context.now;
             self.send(open.batch, reply(&open.id), link);
         }
         ControlFlow::Continue
     }
 
     fn read_lines(&mut self, link: &mut Link, context: &mut Context) {
-        // A client that does not read its answers is not read from either: see `flushed`.
+        // Reading pauses while the client does not read its answers, and resumes in `flushed`.
         while link.unwritten_bytes() <= MAX_UNREAD_OUTPUT_BYTES {
             let Some(end) = link.input.iter().position(|b| *b == b'\n') else { break };
             let line: Vec<u8> = link.input.drain(..=end).collect();
             if std::mem::take(&mut self.skipping) {
                 continue;
             }
-            if end <= self.line_limit {
-                self.line(&line[..end], link, context);
+            if end <= self.max_line_bytes {
+                self.handle_line(&line[..end], link, context);
             } else {
-                self.too_long(link, context);
+                self.reject_oversized(link, context);
             }
         }
-        if link.input.len() > self.line_limit && !link.input.contains(&b'\n') {
+        if link.input.len() > self.max_line_bytes && !link.input.contains(&b'\n') {
             link.input.clear();
             if !std::mem::replace(&mut self.skipping, true) {
-                self.too_long(link, context);
+                self.reject_oversized(link, context);
             }
         }
     }
 
-    /// When the connection is closed as idle; one on which a line has begun is not.
-    fn unused_by(&self) -> Option<Timestamp> {
-        (self.open.is_empty() && self.whole_by.is_none()).then_some(self.last + RPC_IDLE_TIMEOUT)
+    /// When the connection is closed as idle; `None` while requests are open or a line is incomplete.
+    fn idle_deadline(&self) -> Option<Timestamp> {
+        (self.open.is_empty() && self.message_deadline.is_none())
+            .then_some(self.last_activity + RPC_IDLE_TIMEOUT)
     }
 
-    /// Whatever is open here will find nobody to answer to.
+    /// Withdraws all open requests of the connection.
     fn withdraw_all(&mut self, link: &Link, context: &mut Context) {
         self.batches.clear();
         for stream in std::mem::take(&mut self.open).into_keys() {
@@ -269,27 +279,27 @@
         }
     }
 
-    fn cut_short(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
+    fn close_incomplete(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         context.core.counters().malformed += 1;
-        put(link, &error(&Value::Null, codes::PARSE, "the line has no end", None));
+        write_line(link, &error(&Value::Null, codes::PARSE, "the line has no end", None));
         self.withdraw_all(link, context);
         link.set_close_cause(CloseCause::Unreadable);
-        self.finish_by = Some(context.now + LINGER_TIMEOUT);
+        self.finish_deadline = Some(context.now + LINGER_TIMEOUT);
         ControlFlow::Finish
     }
 
-    fn too_long(&mut self, link: &mut Link, context: &mut Context) {
+    fn reject_oversized(&mut self, link: &mut Link, context: &mut Context) {
         context.core.counters().malformed += 1;
-        put(link, &error(&Value::Null, codes::INVALID_REQUEST, "line too long", None));
+        write_line(link, &error(&Value::Null, codes::INVALID_REQUEST, "line too long", None));
     }
 }
 
-/// When the line came that has just been taken from the input.
+/// When the line that has just been taken from the input arrived.
 fn arrived(link: &Link) -> Timestamp {
     link.arrival_time(link.input.len())
 }
 
-/// When a client that waits so long, counted from when its line came, is to have its answer.
+/// The deadline of a request whose client waits `allow_ms` from the arrival of its line, at most an hour.
 fn deadline(arrived: Timestamp, allow_ms: u64) -> Timestamp {
     arrived + Duration((allow_ms.min(3_600_000) * 1_000_000).saturating_sub(ANSWER_TRANSIT_TIME.0))
 }
@@ -298,7 +308,7 @@
     !matches!(request, Request::Nothing | Request::Cancel(_))
 }
 
-fn put(link: &mut Link, reply: &Value) {
+fn write_line(link: &mut Link, reply: &Value) {
     let mut bytes = reply.to_string().into_bytes();
     bytes.push(b'\n');
     link.enqueue(&bytes);
@@ -315,25 +325,27 @@
     }
 
     fn received(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.last = context.now;
-        let held = link.input.len();
+        self.last_activity = context.now;
+        let input_before = link.input.len();
         self.read_lines(link, context);
         if !link.peer_closed {
-            // A line cut short is owed a word; one that is held back until its client reads is not cut short.
-            let part = self.skipping || !link.input.is_empty() && !link.input.contains(&b'\n');
-            self.whole_by = if !part {
+            // An incomplete line must end in time. One that only waits until the client reads its answers is complete.
+            let incomplete = self.skipping || !link.input.is_empty() && !link.input.contains(&b'\n');
+            self.message_deadline = if !incomplete {
                 None
             } else {
-                // What is left after a complete line has only just begun.
-                self.whole_by.filter(|_| link.input.len() >= held).or(Some(context.now + MESSAGE_TIMEOUT))
+                // What follows a complete line has only just started to arrive.
+                self.message_deadline
+                    .filter(|_| link.input.len() >= input_before)
+                    .or(Some(context.now + MESSAGE_TIMEOUT))
             };
             return ControlFlow::Continue;
         }
         if link.input.iter().all(u8::is_ascii_whitespace) || link.input.contains(&b'\n') {
             return ControlFlow::Close;
         }
-        // A line cut short by the end: said, in case the client still reads.
-        self.cut_short(link, context)
+        // The client closed its half within a line: answered with an error, as it may still be reading.
+        self.close_incomplete(link, context)
     }
 
     fn flushed(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
@@ -342,21 +354,21 @@
     }
 
     fn on_timeout(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        if self.finish_by.is_none() && self.whole_by.is_some_and(|by| by <= context.now) {
-            return self.cut_short(link, context);
+        if self.finish_deadline.is_none() && self.message_deadline.is_some_and(|by| by <= context.now) {
+            return self.close_incomplete(link, context);
         }
-        let idle = self.unused_by().is_some_and(|by| by <= context.now);
-        let over = self.finish_by.is_some_and(|by| by <= context.now);
+        let idle = self.idle_deadline().is_some_and(|by| by <= context.now);
+        let expired = self.finish_deadline.is_some_and(|by| by <= context.now);
         if idle {
             link.set_close_cause(CloseCause::Idle);
         }
-        if idle || over { ControlFlow::Close } else { ControlFlow::Continue }
+        if idle || expired { ControlFlow::Close } else { ControlFlow::Continue }
     }
 
     fn deadline(&self) -> Option<Timestamp> {
-        let idle = self.unused_by();
-        let whole = self.whole_by.filter(|_| self.finish_by.is_none());
-        self.finish_by.into_iter().chain(whole).chain(idle).min()
+        let idle = self.idle_deadline();
+        let message = self.message_deadline.filter(|_| self.finish_deadline.is_none());
+        self.finish_deadline.into_iter().chain(message).chain(idle).min()
     }
 
     fn closed(&mut self, link: &Link, context: &mut Context) {
@@ -370,19 +382,19 @@
         link: &mut Link,
         context: &mut Context,
     ) -> ControlFlow {
-        self.over(stream, |id| response(id, answer), link, context)
+        self.finish_request(stream, |id| response(id, answer), link, context)
     }
 
     fn chain_ended(&mut self, stream: u64, end: &End, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.over(stream, |id| chain_response(id, end), link, context)
+        self.finish_request(stream, |id| chain_response(id, end), link, context)
     }
 
     fn has_partial_request(&self) -> bool {
-        self.whole_by.is_some()
+        self.message_deadline.is_some()
     }
 
     fn idle_since(&self) -> Option<Timestamp> {
-        (self.open.is_empty() && self.finish_by.is_none()).then_some(self.last)
+        (self.open.is_empty() && self.finish_deadline.is_none()).then_some(self.last_activity)
     }
 }
 
--- a/src/front/jsonrpc/codec.rs
+++ b/src/front/jsonrpc/codec.rs
@@ -1,4 +1,4 @@
-//! What the JSON-RPC front's lines say: a pure codec.
+//! The codec of the JSON-RPC front: decodes lines and encodes responses, without state.
 
 use super::super::{MAX_BODY_BYTES, read_function};
 use crate::chain::{End, STEPS, Step};
@@ -8,53 +8,53 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Map, Value, json};
 
-/// Error codes: the standard's, then this front's own.
+/// Error codes: those of JSON-RPC 2.0, then this front's own.
 pub mod codes {
-    /// The line is not JSON.
+    /// The line is not valid JSON.
     pub const PARSE: i64 = -32700;
-    /// It is JSON, but no request.
+    /// The line is JSON, but not a valid request.
     pub const INVALID_REQUEST: i64 = -32600;
-    /// There is no such method.
+    /// The method does not exist.
     pub const NO_METHOD: i64 = -32601;
-    /// The params cannot be used.
+    /// The params are invalid.
     pub const INVALID_PARAMS: i64 = -32602;
-    /// Not done, and a new try is harmless after `data.cooldown_ms`.
+    /// The request did not run and may be repeated safely after `data.cooldown_ms`.
     pub const REFUSED: i64 = -32001;
-    /// Failed; nothing is promised.
+    /// The request failed, and may have run.
     pub const FAILED: i64 = -32002;
-    /// The request's time is up; `data.outcome` is `refused` (a new try is harmless) or `failed`.
+    /// The request's deadline passed; `data.outcome` is `refused` (may be repeated safely) or `failed`.
     pub const EXPIRED: i64 = -32003;
-    /// The client has withdrawn the request.
+    /// The client cancelled the request.
     pub const CANCELLED: i64 = -32004;
-    /// The time that remains does not cover the chain's next step and those after it.
+    /// The time left does not cover the chain's remaining steps.
     pub const STOPPED: i64 = -32005;
-    /// The chain's step may have run in an earlier try, and its key no longer allows another.
+    /// The chain's step may have run in an earlier attempt, and its key no longer allows another one.
     pub const UNKNOWN: i64 = -32006;
 }
 
-/// Requests in one batch.
+/// Most requests in one batch.
 pub const MAX_BATCH_REQUESTS: usize = 64;
-/// Longest line where the operator has set no other limit.
+/// Longest line, unless the operator sets another limit.
 pub const DEFAULT_MAX_LINE_BYTES: usize = 64 << 10;
 
-/// One request of a line.
+/// A decoded request.
 #[derive(Debug, PartialEq)]
 pub enum Request {
-    /// It is answered at once with this.
+    /// An invalid request, with its error response.
     Reply(Value),
-    /// Needs nothing, not even an answer.
+    /// A notification that is ignored.
     Nothing,
-    /// A request with its id.
+    /// A call, with its id.
     Call(Value, Box<Params>),
-    /// A chain with its id.
+    /// A chain, with its id.
     Chain(Value, Box<ChainParams>),
-    /// The request of this id is withdrawn.
+    /// Cancels the request with this id.
     Cancel(Value),
-    /// Whether the scheduler is ready.
+    /// Asks whether the scheduler is ready; with the request's id.
     Ready(Value),
 }
 
-/// What a request asks for.
+/// The params of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Params {
     pub(super) step: Step,
@@ -63,7 +63,7 @@
     pub(super) key: Option<String>,
 }
 
-/// What a chain asks for.
+/// The params of a chain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChainParams {
     pub(super) steps: Vec<Step>,
@@ -71,12 +71,12 @@
     pub(super) key: Option<String>,
 }
 
-/// What a line holds.
+/// A decoded line.
 #[derive(Debug, PartialEq)]
 pub enum ParsedLine {
-    /// One request.
+    /// A single request.
     One(Request),
-    /// A batch, answered by one line.
+    /// A batch, answered with one line.
     Batch(Vec<Request>),
 }
 
@@ -92,7 +92,7 @@
     json!({"jsonrpc": "2.0", "id": id, "result": result})
 }
 
-/// Reads a line.
+/// Decodes a line.
 pub fn read_line(line: &[u8]) -> ParsedLine {
     let invalid =
         |why| ParsedLine::One(Request::Reply(error(&Value::Null, codes::INVALID_REQUEST, why, None)));
@@ -112,21 +112,21 @@
     if matches!(id, Some(Value::Array(_) | Value::Object(_) | Value::Bool(_))) {
         return invalid(&Value::Null, "id is neither text, a number nor null");
     }
-    let shown = id.clone().unwrap_or_default();
+    let reply_id = id.clone().unwrap_or_default();
     if object.get("jsonrpc").and_then(Value::as_str) != Some("2.0") {
-        return invalid(&shown, "not JSON-RPC 2.0");
+        return invalid(&reply_id, "not JSON-RPC 2.0");
     }
     let Some(method) = object.get("method").and_then(Value::as_str) else {
-        return invalid(&shown, "no method");
+        return invalid(&reply_id, "no method");
     };
     let params = match object.get("params") {
         None => Ok(Map::new()),
         Some(Value::Object(params)) => Ok(params.clone()),
         Some(Value::Array(_)) => Err("params are by name here"),
-        Some(_) => return invalid(&shown, "params are neither an object nor an array"),
+        Some(_) => return invalid(&reply_id, "params are neither an object nor an array"),
     };
     match (method, id, params) {
-        // Nobody could be told how a request without an id has ended; an odd notification is not answered.
+        // The outcome of a request without an id cannot be reported, and an invalid notification is not answered.
         ("cancel", None, Ok(params)) => {
             params.get("id").map_or(Request::Nothing, |id| Request::Cancel(id.clone()))
         }
@@ -159,11 +159,12 @@
     }
 }
 
-/// What says what is to be run. A body that is absent is empty, except where `previous` asks for another answer.
+/// Decodes what a call, or one step of a chain, is to run. An absent body is empty, except in a step whose `previous`
+/// is true.
 fn read_step(params: &Map<String, Value>) -> Result<Step, &'static str> {
-    let figure = |name: &str, usual: f64, why| match params.get(name).map(Value::as_f64) {
-        None => Ok(usual),
-        Some(Some(figure)) if figure.is_finite() && figure >= 0.0 => Ok(figure),
+    let number = |name: &str, default: f64, why| match params.get(name).map(Value::as_f64) {
+        None => Ok(default),
+        Some(Some(number)) if number.is_finite() && number >= 0.0 => Ok(number),
         Some(_) => Err(why),
     };
     let function = read_text(params, "function", "function is not text")?.ok_or("no function")?;
@@ -172,12 +173,12 @@
     if body.len() > MAX_BODY_BYTES {
         return Err("body too large");
     }
-    let load_ms = figure("load_ms", 0.0, "odd load_ms")?;
+    let load_ms = number("load_ms", 0.0, "odd load_ms")?;
     Ok(Step {
         class: read_text(params, "class", "class is not text")?.ok_or("no class")?,
         function: FunctionId(read_function(&function).ok_or("function is not 16 hex digits")?),
-        memory_mb: figure("memory_mb", 0.0, "odd memory_mb")?,
-        concurrency: figure("lanes", 1.0, "odd lanes")?,
+        memory_mb: number("memory_mb", 0.0, "odd memory_mb")?,
+        concurrency: number("lanes", 1.0, "odd lanes")?,
         load_time: Some(Duration((load_ms * 1e6) as u64)).filter(|span| span.0 > 0),
         body: Some(body),
     })
@@ -203,17 +204,17 @@
     }
     let mut steps = Vec::with_capacity(list.len());
     for (n, step) in list.iter().enumerate() {
-        let odd = |why: &str| format!("steps[{n}]: {why}");
-        let fields = step.as_object().ok_or_else(|| odd("not an object"))?;
-        let mut step = read_step(fields).map_err(odd)?;
+        let bad = |why: &str| format!("steps[{n}]: {why}");
+        let fields = step.as_object().ok_or_else(|| bad("not an object"))?;
+        let mut step = read_step(fields).map_err(bad)?;
         match fields.get("previous") {
             None | Some(Value::Bool(false)) => {}
-            Some(Value::Bool(true)) if n == 0 => return Err(odd("there is no answer before the first step")),
+            Some(Value::Bool(true)) if n == 0 => return Err(bad("there is no answer before the first step")),
             Some(Value::Bool(true)) if fields.contains_key("body") => {
-                return Err(odd("both previous and body"));
+                return Err(bad("both previous and body"));
             }
             Some(Value::Bool(true)) => step.body = None,
-            Some(_) => return Err(odd("previous is neither true nor false")),
+            Some(_) => return Err(bad("previous is neither true nor false")),
         }
         steps.push(step);
     }
@@ -223,7 +224,7 @@
     }
 }
 
-/// The response that tells a request's final answer.
+/// The response with a request's final answer.
 pub fn response(id: &Value, answer: &Answer) -> Value {
     match &answer.verdict {
         Verdict::Served(body) => result(id, &json!({"body": STANDARD.encode(body)})),
@@ -243,7 +244,7 @@
     }
 }
 
-/// The response that tells a chain's one end.
+/// The response with a chain's result.
 pub fn chain_response(id: &Value, end: &End) -> Value {
     let mut reply = match (&end.answer.verdict, end.short) {
         (Verdict::Refused { cooldown }, Some(short)) => {
--- a/src/front/jsonrpc/tests.rs
+++ b/src/front/jsonrpc/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn bad_lines_get_their_codes_and_ids() {
+fn invalid_lines_are_answered_with_error_code_and_id() {
     let call = r#"{"jsonrpc":"2.0","id":1,"method":"call","params":"#;
     let cases = [
         ("{".to_owned(), codes::PARSE, "null"),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn good_lines_are_read() {
+fn valid_lines_are_decoded() {
     let text = r#"{"jsonrpc":"2.0","id":"a","method":"call","params":{"class":"c","function":"7f3a9c21e0b4d655","allow_ms":1500,"key":"k","lanes":2,"body":"aGk="}}"#;
     let ParsedLine::One(Request::Call(id, params)) = read_line(text.as_bytes()) else { panic!("a call") };
     assert_eq!((id, params.allow_ms, params.step.concurrency), (json!("a"), 1500, 2.0));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn answers_are_worded() {
+fn answers_are_encoded() {
     let refused = Verdict::Refused { cooldown: Duration::millis(250) };
     let cases = [
         (Verdict::Served(b"hi".to_vec()), false, json!({"result": {"body": "aGk="}})),
--- a/src/front/jsonrpc/wire_tests.rs
+++ b/src/front/jsonrpc/wire_tests.rs
@@ -1,4 +1,4 @@
-//! The wire forms that only this module sees: params of calls and chains, and answers that it words itself.
+//! The wire forms that are private to this module: params of calls and chains, and the responses it composes itself.
 
 use super::*;
 use crate::interface::FunctionId;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn calls_are_read_as_they_were() {
+fn calls_are_decoded_unchanged() {
     let few = r#"{"jsonrpc":"2.0","id":7,"method":"call","params":{"class":"chat",
         "function":"7f3a9c21e0b4d655","allow_ms":1500}}"#;
     let params = Params { step: step("chat", Some(&[])), allow_ms: 1_500, reference: None, key: None };
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn chains_are_read_as_they_were() {
+fn chains_are_decoded_unchanged() {
     let line = r#"{"jsonrpc":"2.0","id":"a","method":"chain","params":{"allow_ms":9,"key":"k","steps":[
         {"class":"chat","function":"7f3a9c21e0b4d655","body":"AP8=","previous":false},
         {"class":"bulk","function":"7f3a9c21e0b4d655","previous":true},
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn results_and_errors_keep_their_lines() {
+fn results_and_errors_are_encoded_unchanged() {
     let cases = [
         (
             result(&json!("r"), &json!({"ready": true})),
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -181,7 +181,7 @@
         near.set_nonblocking(true).unwrap();
         let connection = Box::new(RpcConnection::new(self.reactor.now(), 64 << 10));
         let stream = Stream::Unix(mio::net::UnixStream::from_std(near));
-        let limits = RpcConnection::limits(64 << 10);
+        let limits = RpcConnection::buffer_limits(64 << 10);
         self.reactor.add(stream, connection, true, limits, &mut self.core).unwrap();
         far
     }
