--- a/src/backend/codec.rs
+++ b/src/backend/codec.rs
@@ -8,7 +8,7 @@
 pub enum WorkerReply {
     /// The reply to an attempt or to a load command.
     Answer {
-        /// The ID under which the command was sent.
+        /// The ID (`rid`) under which the command was sent.
         rid: String,
         /// The decoded status and body.
         reply: Reply,
@@ -27,7 +27,7 @@
 /// A line that cannot be decoded, with the ID of the command that it answers if that could be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParseError {
-    /// The ID under which the command was sent.
+    /// The ID (`rid`) under which the command was sent.
     pub rid: Option<String>,
     /// What is wrong with the line.
     pub cause: &'static str,
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -23,9 +23,9 @@
 const MAX_OPEN_COMMANDS: usize = 4096;
 /// How long the ID of an ended attempt stays reserved on its connection, because a late answer may still arrive.
 /// Clients may withdraw hundreds of requests, so the number of reserved IDs is limited as well.
-const ENDED_NAME_RETENTION: Duration = Duration::millis(10_000);
+const ENDED_RID_RETENTION: Duration = Duration::millis(10_000);
 /// Most IDs of ended attempts that stay reserved on one connection.
-const MAX_ENDED_NAMES: usize = 1024;
+const MAX_ENDED_RIDS: usize = 1024;
 /// A request whose line has not been written completely after this time is withdrawn. The line carries the time that
 /// was left when it was made, which may exceed the actual time left by 150 ms at most.
 const WRITE_TIMEOUT: Duration = Duration::millis(100);
@@ -75,22 +75,28 @@
 pub struct WorkerConnection {
     codec: Rc<dyn Codec>,
     limits: ConnectionLimits,
+    /// Jobs that are not yet written, in order.
     pending: VecDeque<Job>,
     open: HashMap<String, OpenEntry>,
-    names: HashMap<AttemptId, String>,
+    /// The ID of each open attempt.
+    rids: HashMap<AttemptId, String>,
     /// The command that is being written.
     writing: Option<OpenEntry>,
     /// When the line of the command being written was made.
     line_made_at: Timestamp,
+    /// Number of open attempts.
     attempts: usize,
     /// Deadline for establishing the connection; `None` once it is established.
     connect_deadline: Option<Timestamp>,
+    /// When the connection was established, or last received a job or an answer.
     last_used: Timestamp,
-    ended_names: VecDeque<(Timestamp, String)>,
+    /// Reserved IDs of ended attempts, oldest first.
+    ended_rids: VecDeque<(Timestamp, String)>,
     /// The outstanding probe and the time at which it fails.
     probe_deadline: Option<(Timestamp, ProbeId)>,
     /// When the first byte of the incomplete input line was read.
     line_started: Option<Timestamp>,
+    /// Bytes of the input already searched for a line feed.
     searched_bytes: usize,
     /// A probe was not answered and nothing has been received since. A connection through a network partition stays
     /// established without traffic, and recovers slowly afterwards. New work takes a new connection, whose refusal
@@ -112,13 +118,13 @@
             limits,
             pending: VecDeque::new(),
             open: HashMap::new(),
-            names: HashMap::new(),
+            rids: HashMap::new(),
             writing: None,
             line_made_at: Timestamp(0),
             attempts: 0,
             connect_deadline: Some(connect_deadline),
             last_used: connect_deadline,
-            ended_names: VecDeque::new(),
+            ended_rids: VecDeque::new(),
             probe_deadline: None,
             line_started: None,
             searched_bytes: 0,
@@ -141,6 +147,7 @@
         self.write_pending(false, link, context)
     }
 
+    /// Writes queued commands; at most one attempt, and only if `attempt_allowed`.
     fn write_pending(
         &mut self,
         mut attempt_allowed: bool,
@@ -169,8 +176,8 @@
                     (self.writing, self.line_made_at) = (Some(OpenEntry::Attempt(attempt)), context.now);
                 }
                 Job::Cancel { attempt } => {
-                    if let Some(name) = self.names.remove(&attempt) {
-                        link.enqueue(&self.codec.halt(&name));
+                    if let Some(rid) = self.rids.remove(&attempt) {
+                        link.enqueue(&self.codec.halt(&rid));
                     }
                 }
                 Job::Load { load, function, instances } => {
@@ -201,9 +208,9 @@
 
     /// Drops an attempt that is not sent for a reason on this side.
     fn drop_attempt(&mut self, attempt: AttemptId, context: &mut Context) {
-        if let Some(name) = self.names.remove(&attempt) {
+        if let Some(rid) = self.rids.remove(&attempt) {
             self.attempts -= 1;
-            self.open.remove(&name);
+            self.open.remove(&rid);
             context.core.attempt_not_sent(context.now, attempt);
         }
     }
@@ -251,7 +258,7 @@
                 if let Some(OpenEntry::Attempt(attempt)) = rid.as_ref().and_then(|rid| self.open.remove(rid))
                 {
                     self.attempts -= 1;
-                    self.names.remove(&attempt);
+                    self.rids.remove(&attempt);
                     let broken = Broken { progress: AttemptProgress::Answered, cause };
                     context.core.attempt_ended(context.now, attempt, Err(broken));
                 }
@@ -264,11 +271,11 @@
         match self.open.remove(&rid) {
             Some(OpenEntry::Attempt(attempt)) => {
                 self.attempts -= 1;
-                self.names.remove(&attempt);
+                self.rids.remove(&attempt);
                 // A retry must take another connection: a second answer to this attempt, which may still arrive,
                 // would be taken for the retry's.
                 if !matches!(reply, Ok(Reply::Ok(_))) {
-                    self.retain_name(rid, context.now);
+                    self.reserve_rid(rid, context.now);
                 }
                 context.core.attempt_ended(context.now, attempt, reply);
             }
@@ -307,9 +314,9 @@
     fn abort_write(&mut self, attempt: AttemptId, link: &mut Link, context: &mut Context) -> ControlFlow {
         self.writing = None;
         self.write_aborted = !link.discard_output();
-        if let Some(name) = self.names.remove(&attempt) {
+        if let Some(rid) = self.rids.remove(&attempt) {
             self.attempts -= 1;
-            self.open.remove(&name);
+            self.open.remove(&rid);
             let progress =
                 if self.write_aborted { AttemptProgress::PartlyWritten } else { AttemptProgress::NotSent };
             let broken = Broken { progress, cause: "the worker does not read" };
@@ -327,24 +334,21 @@
     }
 
     /// Reserves the ID of an ended attempt on this connection, because an answer to it may still arrive.
-    fn retain_name(&mut self, name: String, now: Timestamp) {
-        self.open.insert(name.clone(), OpenEntry::Ended(now));
-        self.ended_names.push_back((now, name));
-        self.drop_ended_names(now);
+    fn reserve_rid(&mut self, rid: String, now: Timestamp) {
+        self.open.insert(rid.clone(), OpenEntry::Ended(now));
+        self.ended_rids.push_back((now, rid));
+        self.drop_ended_rids(now);
     }
 
-    fn drop_ended_names(&mut self, now: Timestamp) {
-        let excess = self.ended_names.len().saturating_sub(MAX_ENDED_NAMES);
-        let mut expired = self
-            .ended_names
-            .iter()
-            .position(|(at, _)| *at + ENDED_NAME_RETENTION >= now)
-            .unwrap_or(usize::MAX);
-        expired = expired.min(self.ended_names.len()).max(excess);
+    fn drop_ended_rids(&mut self, now: Timestamp) {
+        let excess = self.ended_rids.len().saturating_sub(MAX_ENDED_RIDS);
+        let mut expired =
+            self.ended_rids.iter().position(|(at, _)| *at + ENDED_RID_RETENTION >= now).unwrap_or(usize::MAX);
+        expired = expired.min(self.ended_rids.len()).max(excess);
         for _ in 0..expired {
-            let Some((at, _)) = self.ended_names.front() else { return };
+            let Some((at, _)) = self.ended_rids.front() else { return };
             let at = *at;
-            let Some((_, rid)) = self.ended_names.pop_front() else { return };
+            let Some((_, rid)) = self.ended_rids.pop_front() else { return };
             if matches!(self.open.get(&rid), Some(OpenEntry::Ended(since)) if *since == at) {
                 self.open.remove(&rid);
             }
@@ -415,7 +419,7 @@
     }
 
     fn on_timeout(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.drop_ended_names(context.now);
+        self.drop_ended_rids(context.now);
         if self.write_deadline().is_some_and(|by| by <= context.now) {
             let flow = match self.unwritten_attempt(link) {
                 Some(attempt) => self.abort_write(attempt, link, context),
@@ -443,7 +447,7 @@
 
     fn deadline(&self) -> Option<Timestamp> {
         let idle = self.idle_since().map(|since| since + self.limits.idle_timeout);
-        let ended = self.ended_names.front().map(|(at, _)| *at + ENDED_NAME_RETENTION + Duration(1));
+        let ended = self.ended_rids.front().map(|(at, _)| *at + ENDED_RID_RETENTION + Duration(1));
         let probe = self.probe_deadline.map(|(by, _)| by);
         let due = self.connect_deadline.into_iter().chain(probe).chain(self.line_deadline());
         due.chain(idle).chain(ended).chain(self.write_deadline()).min()
@@ -499,31 +503,31 @@
             Job::Send { attempt, work, .. } => {
                 self.attempts += 1;
                 self.open.insert(work.reference.clone(), OpenEntry::Attempt(*attempt));
-                self.names.insert(*attempt, work.reference.clone());
+                self.rids.insert(*attempt, work.reference.clone());
             }
             Job::Load { load, .. } => {
                 self.open.insert(Self::load_rid(*load), OpenEntry::Load(*load));
             }
             Job::Cancel { attempt } => {
-                let Some(name) = self.names.get(attempt).cloned() else { return ControlFlow::Continue };
+                let Some(rid) = self.rids.get(attempt).cloned() else { return ControlFlow::Continue };
                 self.attempts -= 1;
                 // Still queued here: neither the attempt nor its cancellation is sent.
                 let waits = |job: &Job| matches!(job, Job::Send { attempt: a, .. } if a == attempt);
                 if let Some(position) = self.pending.iter().position(waits) {
                     self.pending.remove(position);
-                    self.open.remove(&name);
-                    self.names.remove(attempt);
+                    self.open.remove(&rid);
+                    self.rids.remove(attempt);
                     return ControlFlow::Continue;
                 }
                 // In the output buffer and not written completely: it must not start, as no client waits for it.
                 if self.unwritten_attempt(link) == Some(*attempt) {
                     self.writing = None;
-                    self.open.remove(&name);
-                    self.names.remove(attempt);
+                    self.open.remove(&rid);
+                    self.rids.remove(attempt);
                     self.write_aborted = !link.discard_output();
                     return self.write_commands(link, context);
                 }
-                self.retain_name(name, context.now);
+                self.reserve_rid(rid, context.now);
             }
             Job::Probe { probe, deadline } => {
                 self.open.insert(Self::probe_rid(*probe), OpenEntry::Probe(*probe));
@@ -537,11 +541,11 @@
     }
 
     fn can_accept(&self, reference: Option<&str>) -> bool {
-        let free = reference.is_none_or(|name| !self.open.contains_key(name));
+        let free = reference.is_none_or(|rid| !self.open.contains_key(rid));
         free && !self.unresponsive
             && !self.write_aborted
             && self.attempts < self.limits.multiplex
-            && self.open.len() - self.ended_names.len().min(self.open.len()) + self.pending.len()
+            && self.open.len() - self.ended_rids.len().min(self.open.len()) + self.pending.len()
                 < MAX_OPEN_COMMANDS
     }
 
--- a/src/front/frames.rs
+++ b/src/front/frames.rs
@@ -239,8 +239,10 @@
 
 /// A client's connection to the platform's front.
 pub struct FrameConnection {
+    /// Streams of open requests.
     open: BTreeSet<u32>,
     used_streams: UsedStreams,
+    /// When the last complete frame was received or the last answer queued.
     last_activity: Timestamp,
     /// When input was last received, so that a connection on which a request arrives slowly does not count as idle.
     last_received: Timestamp,
--- a/src/front/frames/tests.rs
+++ b/src/front/frames/tests.rs
@@ -4,15 +4,15 @@
 
 #[test]
 fn only_complete_frames_of_valid_length_are_read() {
-    let mut whole = Vec::new();
-    put_frame(2, 7, &[], &mut whole);
-    put_frame(0, 8, &[b"xyz"], &mut whole);
+    let mut complete = Vec::new();
+    put_frame(2, 7, &[], &mut complete);
+    put_frame(0, 8, &[b"xyz"], &mut complete);
     for cut in 0..9 {
-        assert_eq!(read_frame(&whole[..cut]), Ok(None), "{cut}");
+        assert_eq!(read_frame(&complete[..cut]), Ok(None), "{cut}");
     }
-    let (first, size) = read_frame(&whole).unwrap().unwrap();
+    let (first, size) = read_frame(&complete).unwrap().unwrap();
     assert_eq!((first, size), (Frame { kind: 2, stream: 7, payload: b"" }, 9));
-    let (second, _) = read_frame(&whole[size..]).unwrap().unwrap();
+    let (second, _) = read_frame(&complete[size..]).unwrap().unwrap();
     assert_eq!(second, Frame { kind: 0, stream: 8, payload: b"xyz" });
     for length in [0u32, 4, 262_145, u32::MAX] {
         assert!(read_frame(&length.to_be_bytes()).is_err(), "{length}");
@@ -64,9 +64,9 @@
         read_request(&large, OWNER, Timestamp(0)).unwrap_err(),
         RequestError::Unusable("body too large")
     );
-    let whole = fields(&good);
-    for cut in 0..whole.len() {
-        let got = read_request(&whole[..cut], OWNER, Timestamp(0));
+    let complete = fields(&good);
+    for cut in 0..complete.len() {
+        let got = read_request(&complete[..cut], OWNER, Timestamp(0));
         assert_eq!(got.unwrap_err(), RequestError::Malformed("fields cut short"), "{cut}");
     }
     let got = read_request(&[1, 1, 0xff, 0, 0], OWNER, Timestamp(0));
--- a/src/net/arrivals.rs
+++ b/src/net/arrivals.rs
@@ -70,13 +70,19 @@
         }
     }
 
-    /// `count` bytes have been read by `now`, while `unused` bytes of earlier reads were not yet consumed. `stamp` is the Unix
+    /// `count` bytes have been read by `now`, while `unused` bytes of earlier reads were not yet consumed. `timestamp` is the Unix
     /// time at which the kernel received the last of them, if known.
-    pub fn note_bytes(&mut self, count: usize, stamp: Option<Timestamp>, now: ClockReading, unused: usize) {
+    pub fn note_bytes(
+        &mut self,
+        count: usize,
+        timestamp: Option<Timestamp>,
+        now: ClockReading,
+        unused: usize,
+    ) {
         let used = self.read - unused as u64;
         self.reads.retain(|read| read.end > used);
         let earliest = self.empty_at.process_time;
-        let kernel_time = stamp.and_then(|stamp| self.to_process_time(stamp, now));
+        let kernel_time = timestamp.and_then(|timestamp| self.to_process_time(timestamp, now));
         let last = kernel_time.unwrap_or_else(|| arrival_between(earliest, now.process_time));
         let earlier = arrival_between(earliest, last);
         self.read += count as u64;
@@ -98,12 +104,12 @@
 
     /// Converts a Unix time to the process's clock; `None` if the two clocks cannot be compared. The result may be too
     /// early, if the process was suspended between its reads of the two clocks, but never too late.
-    fn to_process_time(&self, stamp: Timestamp, now: ClockReading) -> Option<Timestamp> {
+    fn to_process_time(&self, timestamp: Timestamp, now: ClockReading) -> Option<Timestamp> {
         let drift = now.wall_ahead?.abs_diff(self.empty_at.wall_ahead?);
         if drift > MAX_CLOCK_DRIFT.0 {
             return None;
         }
-        let process_time = now.process_time.0.checked_add_signed(now.wall_ahead?)?.checked_sub(stamp.0);
+        let process_time = now.process_time.0.checked_add_signed(now.wall_ahead?)?.checked_sub(timestamp.0);
         let process_time = Timestamp(now.process_time.0.checked_sub(process_time?)?);
         Some(process_time.max(self.empty_at.process_time))
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -361,8 +361,8 @@
             }
             match self.stream.receive(&mut chunk) {
                 Ok((0, _)) => self.peer_closed = true,
-                Ok((count, stamp)) => {
-                    self.arrivals.note_bytes(count, stamp, clock.reading(), self.input.len());
+                Ok((count, timestamp)) => {
+                    self.arrivals.note_bytes(count, timestamp, clock.reading(), self.input.len());
                     self.input.extend_from_slice(&chunk[..count]);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(true),
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -252,7 +252,8 @@
         }
     }
 
-    /// Calls a connection back and acts on the result. A panic in the callback closes this connection alone.
+    /// Calls a connection back, writes its output, and updates its poll registration and timer, or closes it. A panic in the
+    /// callback closes this connection alone.
     fn invoke(
         &mut self,
         token: Token,
--- a/src/net/receive.rs
+++ b/src/net/receive.rs
@@ -26,11 +26,11 @@
     let mut control = nix::cmsg_space!(TimeSpec);
     let message: RecvMsg<()> =
         recvmsg(stream.as_raw_fd(), &mut parts, Some(&mut control), MsgFlags::empty())?;
-    let stamp = message.cmsgs()?.find_map(|part| match part {
+    let timestamp = message.cmsgs()?.find_map(|part| match part {
         ControlMessageOwned::ScmTimestampns(time) => unix_time(time),
         _ => None,
     });
-    Ok((message.bytes, stamp))
+    Ok((message.bytes, timestamp))
 }
 
 fn unix_time(time: TimeSpec) -> Option<Timestamp> {
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -81,8 +81,8 @@
 
     /// Closes a listener.
     pub fn close_listener(&mut self, listener: usize) {
-        let gone = self.listeners.get_mut(listener).and_then(Option::take);
-        let _ = match gone {
+        let removed = self.listeners.get_mut(listener).and_then(Option::take);
+        let _ = match removed {
             Some(Listener::Tcp(mut l)) => self.poll.registry().deregister(&mut l),
             Some(Listener::Unix(mut l)) => self.poll.registry().deregister(&mut l),
             None => Ok(()),
@@ -127,7 +127,7 @@
         let socket = self.sockets.get(number)?.as_ref()?;
         for _ in 0..MAX_FAILED_RECEIVES {
             match socket.recv_from(into) {
-                Ok(taken) => return Some(taken),
+                Ok(received) => return Some(received),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
                 // An unreachable peer or a lost route is reported as an error of the socket; queued datagrams are still
                 // there.
@@ -158,7 +158,7 @@
     /// # Errors
     /// The system's accept failed; [`super::is_transient`] tells whether a later one may succeed.
     pub fn accept(&mut self, listener: usize) -> io::Result<Option<Stream>> {
-        let taken = match &self.listeners[listener] {
+        let accepted = match &self.listeners[listener] {
             None => return Ok(None),
             Some(Listener::Tcp(l)) => l.accept().map(|(stream, _)| {
                 let _ = stream.set_nodelay(true);
@@ -166,7 +166,7 @@
             }),
             Some(Listener::Unix(l)) => l.accept().map(|(stream, _)| Stream::Unix(stream)),
         };
-        match taken {
+        match accepted {
             Ok(stream) => Ok(Some(stream)),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
             Err(e) => Err(e),
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -331,10 +331,10 @@
         scheduler.core.on_timeout(now);
         scheduler.execute_commands();
         while answered < calls - 1
-            && let Some(mut heard) = worker.poll()
+            && let Some(mut command) = worker.poll()
         {
-            if heard.word() == "go" {
-                heard.answer("200", &body);
+            if command.word() == "go" {
+                command.answer("200", &body);
                 answered += 1;
             }
         }
@@ -384,7 +384,7 @@
 /// started draining, left the list or was cordoned: nothing is written on it.
 #[test]
 fn nothing_is_written_on_a_connection_established_too_late() {
-    for case in ["called off", "closed", "draining", "gone", "out by hand"] {
+    for case in ["cancelled", "closed", "draining", "removed", "cordoned"] {
         let worker = Worker::over_tcp();
         let mut scheduler = SteppedScheduler::new(&worker);
         let (mut client, _) = scheduler.client();
@@ -399,11 +399,11 @@
         let now = scheduler.reactor.now();
         let mut member = Member { worker: WorkerId(1), weight: 1.0, ..Member::default() };
         match case {
-            "called off" => client.write_all(&frame(2, 1, &[])).unwrap(),
+            "cancelled" => client.write_all(&frame(2, 1, &[])).unwrap(),
             "closed" => client.shutdown(std::net::Shutdown::Both).unwrap(),
-            "out by hand" => drop(scheduler.core.cordon(now, WorkerId(1))),
+            "cordoned" => drop(scheduler.core.cordon(now, WorkerId(1))),
             other => {
-                member.state = if other == "gone" { State::Gone } else { State::Draining };
+                member.state = if other == "removed" { State::Gone } else { State::Draining };
                 scheduler.core.members(now, ListKind::Delta, vec![member]);
             }
         }
--- a/tests/faults/connections.rs
+++ b/tests/faults/connections.rs
@@ -80,10 +80,10 @@
         let daemon = faulty_daemon(&[&worker], settings());
         let mut client = Frames::connect(daemon.listen);
         client.send(&plain_call(1));
-        let mut heard = worker.next();
+        let mut command = worker.next();
         daemon.signal("STOP");
-        let line = json!({"verb": "200", "rid": heard.name(), "content": "eA==", "attrs": {}}).to_string();
-        heard.raw(format!("{line}\n").as_bytes());
+        let line = json!({"verb": "200", "rid": command.name(), "content": "eA==", "attrs": {}}).to_string();
+        command.raw(format!("{line}\n").as_bytes());
         thread::sleep(Duration::from_millis(20));
         daemon.faults().fail_after(Call::Read, 1, errno, 1).unwrap();
         daemon.signal("CONT");
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -16,7 +16,7 @@
 use std::os::unix::net::UnixListener;
 use std::path::PathBuf;
 
-const REF: &str = "9b1f03aa5c7e2d41";
+const REFERENCE: &str = "9b1f03aa5c7e2d41";
 
 fn operator(folder: &Folder) -> String {
     format!("[jsonrpc]\nsocket = {:?}\nmax_line = 40000\n", folder.at("calls.sock"))
@@ -43,7 +43,7 @@
         Value::Null,
         serde_json::from_str("18446744073709551617").unwrap(),
     ] {
-        client.send(&rpc_call(&id, "practice-check", REF, 2900, "aGk=").to_string());
+        client.send(&rpc_call(&id, "practice-check", REFERENCE, 2900, "aGk=").to_string());
         assert_eq!(client.next(), json!({"jsonrpc": "2.0", "id": id, "result": {"body": "aGk="}}));
     }
     client.send(r#"{"jsonrpc":"2.0","id":1,"method":"ready"}"#);
@@ -56,12 +56,12 @@
     let daemon = start(&[&worker]);
     let lines = worker.serve(echo);
     let mut client = connect(&daemon);
-    let mut silent = rpc_call(&Value::Null, "practice-check", REF, 2900, "");
+    let mut silent = rpc_call(&Value::Null, "practice-check", REFERENCE, 2900, "");
     silent.as_object_mut().unwrap().remove("id");
     client.send(&silent.to_string());
     client.send(&json!([silent, silent]).to_string());
     let batch = json!([
-        rpc_call(&json!(1), "practice-check", REF, 2900, "YQ=="),
+        rpc_call(&json!(1), "practice-check", REFERENCE, 2900, "YQ=="),
         silent,
         5,
         rpc_call(&json!("b"), "practice-check", "00000000000000aa", 2900, "Yg==")
@@ -87,7 +87,7 @@
         assert_eq!((&reply["error"]["code"], &reply["id"]), (&json!(code), &Value::Null));
     }
     for client in [&mut client, &mut other] {
-        client.send(&rpc_call(&json!(1), "practice-check", REF, 2900, "aGk=").to_string());
+        client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 2900, "aGk=").to_string());
         assert_eq!(client.next()["result"]["body"], "aGk=");
     }
     let mut cut = connect(&daemon);
@@ -110,7 +110,7 @@
     let _silent = [connect(&daemon), connect(&daemon)];
     for _ in 0..2 {
         let mut client = connect(&daemon);
-        client.send(&rpc_call(&json!(1), "practice-check", REF, 2900, "").to_string());
+        client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 2900, "").to_string());
         worker.next().answer("200", "eA==");
         assert_eq!(client.next()["result"]["body"], "eA==");
     }
@@ -144,15 +144,15 @@
     let worker = Worker::over_tcp();
     let daemon = start(&[&worker]);
     let mut client = connect(&daemon);
-    client.send(&rpc_call(&json!(1), "no-such-class", REF, 2900, "").to_string());
+    client.send(&rpc_call(&json!(1), "no-such-class", REFERENCE, 2900, "").to_string());
     assert_eq!(client.next()["error"]["code"], -32002);
-    client.send(&rpc_call(&json!(2), "practice-check", REF, 2900, "").to_string());
+    client.send(&rpc_call(&json!(2), "practice-check", REFERENCE, 2900, "").to_string());
     for _ in 0..3 {
         worker.next().answer("503", "");
     }
     let error = client.next()["error"].clone();
     assert_eq!((&error["code"], &error["data"]["cooldown_ms"]), (&json!(-32001), &json!(250)));
-    client.send(&rpc_call(&json!(3), "practice-check", REF, 1000, "").to_string());
+    client.send(&rpc_call(&json!(3), "practice-check", REFERENCE, 1000, "").to_string());
     assert_eq!(worker.next().word(), "go");
     let error = client.next()["error"].clone();
     assert_eq!((&error["code"], &error["data"]["outcome"]), (&json!(-32003), &json!("refused")));
@@ -164,12 +164,12 @@
     let worker = Worker::over_tcp();
     let daemon = start(&[&worker]);
     let mut client = connect(&daemon);
-    client.send(&rpc_call(&json!(1), "practice-check", REF, 2900, "").to_string());
-    let mut heard = worker.next();
+    client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 2900, "").to_string());
+    let mut command = worker.next();
     client.send(r#"{"jsonrpc":"2.0","method":"cancel","params":{"id":"1"}}"#);
     client.send(r#"{"jsonrpc":"2.0","method":"cancel","params":{"id":1}}"#);
     assert_eq!(client.next()["error"]["code"], -32004);
-    heard.answer("200", "");
+    command.answer("200", "");
     client.send(&rpc_call(&json!(1), "practice-check", "00000000000000aa", 2900, "").to_string());
     worker.next();
     drop(client);
@@ -189,13 +189,13 @@
         format!("{}[[checkers]]\nid = \"s-0000c001\"\nsocket = {path:?}\n", operator(folder))
     });
     let (mut client, mut other) = (connect(&daemon), connect(&daemon));
-    client.send(&rpc_call(&json!(1), "practice-check", REF, 60_000, "YQ==").to_string());
-    let mut heard = checker.next();
-    other.send(&rpc_call(&json!(1), "practice-check", REF, 60_000, "Yg==").to_string());
+    client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 60_000, "YQ==").to_string());
+    let mut command = checker.next();
+    other.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 60_000, "Yg==").to_string());
     assert_eq!(other.next()["error"]["code"], -32002);
-    heard.raw(b"[\n");
+    command.raw(b"[\n");
     let mut again = checker.next();
-    assert_eq!(again.name(), REF);
+    assert_eq!(again.name(), REFERENCE);
     again.answer("200", "eA==");
     assert_eq!(client.next()["result"]["body"], "eA==");
 }
@@ -209,11 +209,11 @@
         format!("{}[[checkers]]\nid = \"s-0000c001\"\nsocket = {path:?}\n", operator(folder))
     });
     let mut client = connect(&daemon);
-    client.send(&rpc_call(&json!(1), "credit-submit", REF, 2900, "aGk=").to_string());
-    let mut heard = checker.next();
-    assert_eq!((heard.word(), heard.name().as_str()), ("go", REF));
-    assert_eq!(heard.line["params"]["key"], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-    heard.answer("500", "");
+    client.send(&rpc_call(&json!(1), "credit-submit", REFERENCE, 2900, "aGk=").to_string());
+    let mut command = checker.next();
+    assert_eq!((command.word(), command.name().as_str()), ("go", REFERENCE));
+    assert_eq!(command.line["params"]["key"], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+    command.answer("500", "");
     checker.next().answer("200", "YQ==");
     assert_eq!(client.next()["result"]["body"], "YQ==");
     let mut frames = Frames::connect(daemon.listen);
@@ -249,24 +249,24 @@
     let start = std::time::Instant::now();
     while probed == 0 || loaded == 0 || home.len() < 12 {
         assert!(start.elapsed() < LONG, "{probed} probes, {loaded} load requests, {} calls", home.len());
-        for mut heard in checkers.iter().filter_map(Worker::poll) {
-            match heard.word() {
-                "go" => home.push(heard),
+        for mut command in checkers.iter().filter_map(Worker::poll) {
+            match command.word() {
+                "go" => home.push(command),
                 "probe" => {
                     probed += 1;
-                    heard.say(
-                        json!({"jsonrpc": "2.0", "id": heard.name(), "result": {"load": {"util": 0.5}}}),
+                    command.say(
+                        json!({"jsonrpc": "2.0", "id": command.name(), "result": {"load": {"util": 0.5}}}),
                     );
                 }
                 "stage" => {
                     loaded += 1;
-                    heard.answer("200", "");
+                    command.answer("200", "");
                 }
                 other => panic!("{other}"),
             }
         }
     }
-    home.iter_mut().for_each(|heard| heard.answer("200", "eA=="));
+    home.iter_mut().for_each(|command| command.answer("200", "eA=="));
     for _ in 0..12 {
         assert_eq!(client.next()["result"]["body"], "eA==");
     }
@@ -280,7 +280,7 @@
     settings["classes"][1]["repeatWindowNs"] = json!(1);
     let daemon = Daemon::with(&[&worker], settings, None, operator);
     let mut client = connect(&daemon);
-    client.send(&rpc_call(&json!(1), "credit-submit", REF, 2900, "").to_string());
+    client.send(&rpc_call(&json!(1), "credit-submit", REFERENCE, 2900, "").to_string());
     worker.next().end();
     assert_eq!(client.next()["error"]["code"], -32001);
     client.send(r#"{"jsonrpc":"2.0","id":2,"method":"ready"}"#);
@@ -332,8 +332,8 @@
     let daemon = Daemon::with(&[], settings(), None, |folder| file(folder, "calls.sock", 0));
     let (path, config) = (daemon.folder.at("operator.toml"), daemon.config.to_string());
     let mut client = connect(&daemon);
-    client.send(&rpc_call(&json!(1), "practice-check", REF, 60_000, "").to_string());
-    let mut heard = checkers[0].next();
+    client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 60_000, "").to_string());
+    let mut command = checkers[0].next();
     std::fs::write(&path, "[jsonrpc]\nsocket = 7\n").unwrap();
     assert_eq!(daemon.reload(&config), "refused");
     let precious = daemon.folder.at("precious");
@@ -348,7 +348,7 @@
     second.send(&rpc_call(&json!(1), "practice-check", "00000000000000aa", 2900, "").to_string());
     checkers[1].next().answer("200", "eA==");
     assert_eq!(second.next()["result"]["body"], "eA==");
-    heard.answer("200", "eQ==");
+    command.answer("200", "eQ==");
     assert_eq!(client.next()["result"]["body"], "eQ==", "open when the file changed");
 }
 
@@ -358,8 +358,8 @@
     let worker = Worker::over_tcp();
     let mut daemon = start(&[&worker]);
     let mut client = connect(&daemon);
-    client.send(&rpc_call(&json!(1), "practice-check", REF, 60_000, "").to_string());
-    let mut heard = worker.next();
+    client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 60_000, "").to_string());
+    let mut command = worker.next();
     daemon.signal("TERM");
     daemon.wait_log("ending");
     client.send(r#"{"jsonrpc":"2.0","id":2,"method":"ready"}"#);
@@ -368,7 +368,7 @@
     late.send(&rpc_call(&json!(1), "practice-check", "00000000000000aa", 2900, "").to_string());
     worker.next().answer("200", "eA==");
     assert_eq!(late.next()["result"]["body"], "eA==");
-    heard.answer("200", "eQ==");
+    command.answer("200", "eQ==");
     assert_eq!(client.next()["result"]["body"], "eQ==");
     assert!(daemon.child.wait().unwrap().success());
     assert!(!daemon.folder.at("calls.sock").exists());
@@ -381,14 +381,14 @@
         (payload[0], if payload[0] == 79 { payload[2..].to_vec() } else { vec![] })
     }
     // The outcome of a call depends only on its body.
-    let answer = |heard: &Heard| match heard.word() {
-        "go" => match heard.line["content"].as_str().unwrap() {
+    let answer = |command: &Heard| match command.word() {
+        "go" => match command.line["content"].as_str().unwrap() {
             "ZnVsbA==" => Some(("503", String::new())),
             "ZXJyb3I=" => Some(("500", String::new())),
             "c2lsZW5jZQ==" => None,
             body => Some(("200", body.to_owned())),
         },
-        _ => echo(heard),
+        _ => echo(command),
     };
     let calls: Vec<(&str, &str)> = (0..160)
         .map(|n| {
@@ -465,11 +465,11 @@
             };
             outcomes.push(outcome);
         }
-        let mut words = std::collections::BTreeMap::new();
-        for (word, count) in lines.iter().flat_map(tally) {
-            *words.entry(word).or_insert(0) += count;
+        let mut commands = std::collections::BTreeMap::new();
+        for (name, count) in lines.iter().flat_map(tally) {
+            *commands.entry(name).or_insert(0) += count;
         }
-        seen.push((outcomes, words));
+        seen.push((outcomes, commands));
     }
     assert_eq!(seen[0], seen[1]);
     assert!(seen[0].1["stage"] >= 1, "{:?}", seen[0].1);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -14,7 +14,7 @@
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
-const REF: &str = "9b1f03aa5c7e2d41";
+const REFERENCE: &str = "9b1f03aa5c7e2d41";
 
 /// Asserts that the client receives nothing before the answer to a readiness query.
 fn assert_no_further_answer(client: &mut Frames, code: u8) {
@@ -29,7 +29,7 @@
     let lines = worker.serve(echo);
     let mut client = Frames::connect(daemon.listen);
     let body: Vec<u8> = (0..=255).collect();
-    for byte in frame(0, 1, &call("practice-check", REF, 2000, &body)) {
+    for byte in frame(0, 1, &call("practice-check", REFERENCE, 2000, &body)) {
         client.send(&[byte]);
     }
     assert_eq!(client.next(), Some((1, 1, [&[79, 0][..], &body].concat())));
@@ -41,7 +41,7 @@
     answers.sort();
     assert_eq!(answers, (2..10).map(|n| (1, n, vec![79, 0, n as u8])).collect::<Vec<_>>());
     let first = lines.0.lock().unwrap()[0].clone();
-    assert_eq!((&first["rid"], &first["attrs"]["lane"]), (&json!(REF), &json!("practice-check")));
+    assert_eq!((&first["rid"], &first["attrs"]["lane"]), (&json!(REFERENCE), &json!("practice-check")));
     assert_eq!(first["attrs"]["dedupe"], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 }
 
@@ -51,12 +51,12 @@
     let daemon = Daemon::start(&[&worker]);
     worker.serve(echo);
     let mut other = Frames::connect(daemon.listen);
-    let good = frame(0, 1, &call("practice-check", REF, 2000, b"x"));
+    let good = frame(0, 1, &call("practice-check", REFERENCE, 2000, b"x"));
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("length 0", vec![0; 4]),
         ("length above the limit", vec![0, 4, 0, 1]),
         ("unknown type", frame(3, 1, &[])),
-        ("stream 0", frame(0, 0, &call("practice-check", REF, 2000, b""))),
+        ("stream 0", frame(0, 0, &call("practice-check", REFERENCE, 2000, b""))),
         ("fields cut short", frame(0, 1, &[5, 1])),
         ("fields that are no text", frame(0, 1, &[1, 1, 0xff, 0, 0])),
         ("a stream used before", [good.clone(), good.clone()].concat()),
@@ -80,7 +80,7 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     worker.serve(echo);
-    let good = frame(0, 1, &call("practice-check", REF, 2000, b"x"));
+    let good = frame(0, 1, &call("practice-check", REFERENCE, 2000, b"x"));
     let mut silent = Frames::connect(daemon.listen);
     assert_eq!(silent.next(), None, "closed");
     let mut half = Frames::connect(daemon.listen);
@@ -129,11 +129,11 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     let mut client = Frames::connect(daemon.listen);
-    client.send(&frame(0, 1, &call("practice-check", REF, 60_000, b"")));
+    client.send(&frame(0, 1, &call("practice-check", REFERENCE, 60_000, b"")));
     assert_eq!(worker.next().word(), "go");
     client.send(&frame(2, 1, &[]));
-    let heard = worker.next();
-    assert_eq!((heard.word(), heard.name().as_str()), ("halt", REF));
+    let command = worker.next();
+    assert_eq!((command.word(), command.name().as_str()), ("halt", REFERENCE));
 }
 
 #[test]
@@ -143,26 +143,26 @@
     worker.serve(echo);
     let mut client = Frames::connect(daemon.listen);
     let cases = [
-        call("no-such-class", REF, 2000, b""),
+        call("no-such-class", REFERENCE, 2000, b""),
         call("practice-check", "not hex", 2000, b""),
-        request(&[("service", "practice-check"), ("ref", REF), ("allow", "9"), ("lookup", "zz")], b""),
-        call("practice-check", REF, 2000, &[0; 16 * 1024 + 1]),
+        request(&[("service", "practice-check"), ("ref", REFERENCE), ("allow", "9"), ("lookup", "zz")], b""),
+        call("practice-check", REFERENCE, 2000, &[0; 16 * 1024 + 1]),
     ];
     for (n, payload) in cases.iter().enumerate() {
         client.send(&frame(0, n as u32 + 1, payload));
         assert_eq!(client.next(), Some((1, n as u32 + 1, vec![69, 0])), "case {n}");
     }
-    client.send(&frame(0, 9, &call("practice-check", REF, 2000, b"x")));
+    client.send(&frame(0, 9, &call("practice-check", REFERENCE, 2000, b"x")));
     assert_eq!(client.next(), Some((1, 9, vec![79, 0, b'x'])));
 }
 
 #[test]
 fn a_refused_connection_proves_that_nothing_ran() {
     // An address that no other test binds, so that the port is not reused.
-    let gone = TcpListener::bind("127.0.0.77:0").unwrap();
+    let closed = TcpListener::bind("127.0.0.77:0").unwrap();
     let mut dead = Worker::over_tcp();
-    dead.at = At::Tcp(gone.local_addr().unwrap());
-    drop(gone);
+    dead.at = At::Tcp(closed.local_addr().unwrap());
+    drop(closed);
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&dead, &worker]);
     worker.serve(echo);
@@ -182,12 +182,12 @@
         settings["classes"][1]["repeatWindowNs"] = json!(window);
         let daemon = Daemon::with(&[&worker], settings, None, |_| String::new());
         let mut client = Frames::connect(daemon.listen);
-        client.send(&frame(0, 1, &call("credit-submit", REF, 2900, b"")));
+        client.send(&frame(0, 1, &call("credit-submit", REFERENCE, 2900, b"")));
         let mut keys = Vec::new();
         for _ in 0..expected {
-            let heard = worker.next();
-            keys.push(heard.line["attrs"]["dedupe"].clone());
-            heard.end();
+            let command = worker.next();
+            keys.push(command.line["attrs"]["dedupe"].clone());
+            command.end();
         }
         let (kind, stream, payload) = client.next().unwrap();
         assert_eq!(
@@ -209,22 +209,22 @@
     settings["bounds"]["probes"] = json!(true);
     let daemon = Daemon::with(&[&workers[0], &workers[1]], settings, None, |_| String::new());
     let mut client = Frames::connect(daemon.listen);
-    client.send(&frame(0, 1, &call("credit-submit", REF, 60_000, b"")));
+    client.send(&frame(0, 1, &call("credit-submit", REFERENCE, 60_000, b"")));
     // The hash decides which of the two gets the call.
     let start = std::time::Instant::now();
-    let (mut heard, other) = loop {
+    let (mut command, other) = loop {
         assert!(start.elapsed() < LONG, "no worker receives the call");
-        let taken = |worker: &Worker| worker.poll();
-        if let Some(heard) = taken(&workers[0]) {
-            break (heard, &workers[1]);
+        let next_command = |worker: &Worker| worker.poll();
+        if let Some(command) = next_command(&workers[0]) {
+            break (command, &workers[1]);
         }
-        if let Some(heard) = taken(&workers[1]) {
-            break (heard, &workers[0]);
+        if let Some(command) = next_command(&workers[1]) {
+            break (command, &workers[0]);
         }
     };
     let mut again = other.next();
-    assert_eq!((again.word(), again.name().as_str()), ("go", REF));
-    heard.answer("200", "b2xk");
+    assert_eq!((again.word(), again.name().as_str()), ("go", REFERENCE));
+    command.answer("200", "b2xk");
     again.answer("200", "bmV3");
     assert_eq!(client.next(), Some((1, 1, b"\x4f\0new".to_vec())));
     assert_no_further_answer(&mut client, 79);
@@ -237,14 +237,14 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     let (mut client, mut other) = (Frames::connect(daemon.listen), Frames::connect(daemon.listen));
-    client.send(&frame(0, 1, &call("practice-check", REF, 2900, b"a")));
-    let mut heard = worker.next();
-    other.send(&frame(0, 1, &call("practice-check", REF, 2900, b"b")));
+    client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"a")));
+    let mut command = worker.next();
+    other.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"b")));
     assert_eq!(other.next(), Some((1, 1, vec![69, 0])));
-    heard.answer("200", "YQ==");
+    command.answer("200", "YQ==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'a'])));
     assert!(worker.quiet());
-    other.send(&frame(0, 2, &call("practice-check", REF, 2900, b"b")));
+    other.send(&frame(0, 2, &call("practice-check", REFERENCE, 2900, b"b")));
     worker.next().answer("200", "Yg==");
     assert_eq!(other.next(), Some((1, 2, vec![79, 0, b'b'])), "the reference is free again");
 }
@@ -259,7 +259,7 @@
         let worker = Worker::over_tcp();
         let daemon = Daemon::start(&[&worker]);
         let mut client = Frames::connect(daemon.listen);
-        client.send(&frame(0, 1, &call("practice-check", REF, 60_000, b"")));
+        client.send(&frame(0, 1, &call("practice-check", REFERENCE, 60_000, b"")));
         client.send(&frame(0, 2, &call("practice-check", "00000000000000aa", 60_000, b"")));
         let (mut one, mut two) = (worker.next(), worker.next());
         assert_ne!(one.connection, two.connection);
@@ -279,7 +279,7 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     let mut client = Frames::connect(daemon.listen);
-    client.send(&frame(0, 1, &call("practice-check", REF, 1000, b"a")));
+    client.send(&frame(0, 1, &call("practice-check", REFERENCE, 1000, b"a")));
     let mut old = worker.next();
     let (kind, stream, payload) = client.next().unwrap();
     assert_eq!(
@@ -288,7 +288,7 @@
         "refused at its deadline, as it may be repeated safely"
     );
     assert_eq!(worker.next().word(), "halt");
-    client.send(&frame(0, 2, &call("practice-check", REF, 2900, b"b")));
+    client.send(&frame(0, 2, &call("practice-check", REFERENCE, 2900, b"b")));
     let mut new = worker.next();
     assert_ne!(old.connection, new.connection);
     old.answer("200", "b2xk");
@@ -302,11 +302,11 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     let mut client = Frames::connect(daemon.listen);
-    client.send(&frame(0, 1, &call("practice-check", REF, 2900, b"")));
-    let mut heard = worker.next();
+    client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"")));
+    let mut command = worker.next();
     client.send(&frame(2, 1, &[]));
     assert_no_further_answer(&mut client, 79);
-    heard.answer("200", "");
+    command.answer("200", "");
     assert_no_further_answer(&mut client, 79);
     let mut leaving = Frames::connect(daemon.listen);
     leaving.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2900, b"")));
@@ -321,15 +321,15 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     let mut client = Frames::connect(daemon.listen);
-    let odd = [json!({"verb": "200", "rid": "nobody"}), json!({"verb": "alive", "rid": REF})];
+    let odd = [json!({"verb": "200", "rid": "nobody"}), json!({"verb": "alive", "rid": REFERENCE})];
     for (n, line) in odd.into_iter().enumerate() {
         let (n, name) = (n as u32 + 1, format!("{n:016x}"));
         client.send(&frame(0, n, &call("practice-check", &name, 2900, b"")));
-        let mut heard = worker.next();
-        heard.say(line);
-        heard.answer("200", "eA==");
+        let mut command = worker.next();
+        command.say(line);
+        command.answer("200", "eA==");
         assert_eq!(client.next(), Some((1, n, vec![79, 0, b'x'])));
-        heard.answer("200", "eQ==");
+        command.answer("200", "eQ==");
     }
     assert_no_further_answer(&mut client, 79);
 }
@@ -383,8 +383,8 @@
     feed.write_all(&event(2, 7, &second, 1)).unwrap();
     daemon.wait_counter("list_events", 2);
     let mut client = Frames::connect(daemon.listen);
-    client.send(&frame(0, 1, &call("practice-check", REF, 60_000, b"")));
-    let mut heard = worker.next();
+    client.send(&frame(0, 1, &call("practice-check", REFERENCE, 60_000, b"")));
+    let mut command = worker.next();
     let mut config = daemon.config.clone();
     config["bus"] = json!(moved.0.local_addr().unwrap().to_string());
     config["settings"]["classes"][1]["name"] = json!("exam-submit");
@@ -400,7 +400,7 @@
     feed.write_all(&event(3, 1, &worker, 1)).unwrap();
     feed.write_all(&event(4, 7, &second, 0)).unwrap();
     daemon.wait_counter("list_events", 4);
-    heard.answer("200", "eQ==");
+    command.answer("200", "eQ==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'y'])), "open when the file changed");
     client.send(&frame(0, 3, &call("exam-submit", "00000000000000bb", 2900, b"")));
     second.next().answer("200", "eA==");
@@ -415,8 +415,8 @@
     let mut daemon = Daemon::start(&[&worker]);
     let mut client = Frames::connect(daemon.listen);
     assert_no_further_answer(&mut client, 79);
-    client.send(&frame(0, 1, &call("practice-check", REF, 2900, b"")));
-    let mut heard = worker.next();
+    client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"")));
+    let mut command = worker.next();
     daemon.signal("TERM");
     assert_eq!(client.next(), Some((9, 0, vec![])));
     assert_no_further_answer(&mut client, 66);
@@ -424,7 +424,7 @@
     late.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2900, b"")));
     worker.next().answer("200", "eA==");
     assert_eq!(late.next(), Some((1, 1, vec![79, 0, b'x'])));
-    heard.answer("200", "eQ==");
+    command.answer("200", "eQ==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'y'])));
     assert!(daemon.child.wait().unwrap().success());
     assert!(daemon.wait_log("ended").contains(" served=2 "));
@@ -437,7 +437,7 @@
     worker.serve(echo);
     let _idle: Vec<_> = (0..300).map(|_| TcpStream::connect(daemon.listen).unwrap()).collect();
     let mut client = Frames::connect(daemon.listen);
-    client.send(&frame(0, 1, &call("practice-check", REF, 2900, b"x")));
+    client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"x")));
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
     let held = std::fs::read_dir(format!("/proc/{}/fd", daemon.child.id())).unwrap().count();
     assert!(held <= 256, "{held} descriptors");
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -177,12 +177,12 @@
     let attempts: Arc<Mutex<Vec<Attempt>>> = Arc::default();
     for worker in workers {
         let attempts = attempts.clone();
-        worker.serve(move |heard| {
-            if heard.word() == "go" {
-                let left_ms = heard.line["attrs"]["ttl"].as_u64().unwrap();
-                attempts.lock().unwrap().push(Attempt { reference: heard.name(), left_ms });
+        worker.serve(move |command| {
+            if command.word() == "go" {
+                let left_ms = command.line["attrs"]["ttl"].as_u64().unwrap();
+                attempts.lock().unwrap().push(Attempt { reference: command.name(), left_ms });
             }
-            echo(heard)
+            echo(command)
         });
     }
     let busy = BusyCores::start();
