--- a/src/fleet/distribution/follower.rs
+++ b/src/fleet/distribution/follower.rs
@@ -24,7 +24,7 @@
 /// round.
 const MAX_BACKOFF_DOUBLINGS: u32 = 1;
 /// A parent whose version is older than this is stale, so that another one is probed.
-const STALE_MS: u32 = 5_000;
+const MAX_PARENT_AGE_MS: u32 = 5_000;
 /// A probed parent replaces a stale one only if it is more up to date by at least this time.
 const MIN_AGE_GAIN_MS: u32 = 1_000;
 /// Interval at which a child checks whether its parent is stale.
@@ -239,7 +239,7 @@
 
     /// Whether the parent has not been up to date for too long, or is behind this process.
     fn is_stale(&self, log: &Log) -> bool {
-        self.parent_head.age_ms > STALE_MS || self.parent_head.version < log.version()
+        self.parent_head.age_ms > MAX_PARENT_AGE_MS || self.parent_head.version < log.version()
     }
 
     /// Probes another parent: the next one if the current one is stale, or the preferred one at intervals.
@@ -305,7 +305,7 @@
             let present = self.parent_head;
             page.head > present.version || page.age_ms.saturating_add(MIN_AGE_GAIN_MS) < present.age_ms
         } else {
-            page.age_ms <= STALE_MS
+            page.age_ms <= MAX_PARENT_AGE_MS
         }
     }
 
--- a/src/fleet/distribution/log.rs
+++ b/src/fleet/distribution/log.rs
@@ -11,7 +11,7 @@
 
 /// Maximum number of tombstones per topic. A topic of the size designed for has some 2,300 workers, so that all of them
 /// can be replaced once, and most of them twice, before a child that was away needs a snapshot.
-pub const MAX_TOMBSTONES: usize = 4_096;
+pub const MAX_TOPIC_TOMBSTONES: usize = 4_096;
 /// Maximum number of epochs kept; a child whose version belongs to an earlier one gets a snapshot. The publisher
 /// changes a few times a day, so that 64 epochs cover much more than a day's absence.
 const MAX_EPOCHS: usize = 64;
@@ -39,6 +39,7 @@
     /// Tombstones up to this sequence may have been dropped.
     floor: u64,
     digest: u64,
+    /// Number of live records, which are those that are not removed.
     live: usize,
 }
 
@@ -96,7 +97,7 @@
     }
 
     fn drop_excess_tombstones(&mut self) {
-        while self.tombstones.len() > MAX_TOMBSTONES {
+        while self.tombstones.len() > MAX_TOPIC_TOMBSTONES {
             let Some(sequence) = self.tombstones.pop_first() else { return };
             if let Some(key) = self.index.remove(&sequence) {
                 self.entries.remove(&key);
--- a/src/fleet/distribution/pacing.rs
+++ b/src/fleet/distribution/pacing.rs
@@ -59,10 +59,12 @@
         pacing
     }
 
+    /// The capacity of the token bucket, in bytes.
     fn burst(&self) -> i64 {
         (self.bytes_per_second / BURSTS_PER_SECOND).max(MIN_BURST_BYTES) as i64
     }
 
+    /// The bytes that must be available before sending resumes.
     fn quantum(&self) -> i64 {
         (self.bytes_per_second / QUANTA_PER_SECOND).clamp(1, MIN_BURST_BYTES) as i64
     }
--- a/src/fleet/distribution/publisher.rs
+++ b/src/fleet/distribution/publisher.rs
@@ -26,7 +26,7 @@
 /// Interval at which the publisher announces itself to replicas that are not its children.
 const ANNOUNCE_INTERVAL: Duration = Duration::millis(500);
 /// Maximum number of queued changes: twice the number of workers that a domain is designed for.
-pub const MAX_QUEUED: usize = 100_000;
+pub const MAX_QUEUED_CHANGES: usize = 100_000;
 /// Maximum number of queued tickets, including those without changes.
 const MAX_TICKETS: usize = 10_000;
 
@@ -61,6 +61,7 @@
 #[derive(Debug)]
 struct ProposalInProgress {
     proposal: Proposal,
+    /// Replicas that accepted it, including this one.
     accepted: BTreeSet<SocketAddr>,
     /// Replicas that rejected it because they have not caught up yet.
     behind: BTreeSet<SocketAddr>,
@@ -364,7 +365,7 @@
 
     /// Whether this many more changes can be queued.
     pub fn has_room(&self, changes: usize) -> bool {
-        self.queue.len() < MAX_TICKETS && self.queued + changes <= MAX_QUEUED
+        self.queue.len() < MAX_TICKETS && self.queued + changes <= MAX_QUEUED_CHANGES
     }
 
     /// Queues changes that have passed the checks.
--- a/src/fleet/distribution/stage.rs
+++ b/src/fleet/distribution/stage.rs
@@ -29,9 +29,11 @@
 #[derive(Debug)]
 pub struct Stage {
     content: Content,
+    /// The sequence that it started from; 0 for a snapshot.
     start: u64,
-    /// The lowest version sequence among the pages that were applied.
+    /// The lowest sequence of the parent's version among the pages that were applied.
     begun: u64,
+    /// The sequence up to which pages were applied.
     position: u64,
     /// The parent's version in the last page that was applied.
     head: Version,
--- a/src/fleet/distribution/tests/commit.rs
+++ b/src/fleet/distribution/tests/commit.rs
@@ -176,13 +176,13 @@
     for at in domain.replicas[1..].iter().copied() {
         domain.net.kill(at);
     }
-    let begun = domain.publish(publisher, vec![class("a", "2")]);
-    let waits = domain.publish(publisher, vec![class("a", "3")]);
+    let proposed = domain.publish(publisher, vec![class("a", "2")]);
+    let queued = domain.publish(publisher, vec![class("a", "3")]);
     let many = domain.publish(publisher, (0..200_000).map(|id| worker(id, 0, 1)).collect());
     assert_eq!(domain.outcome(publisher, many), Some(Err(PublishError::TooMany)));
     domain.lease(publisher, None);
-    assert_eq!(domain.outcome(publisher, begun), Some(Err(PublishError::Superseded)));
-    assert_eq!(domain.outcome(publisher, waits), Some(Err(PublishError::NotPublisher)));
+    assert_eq!(domain.outcome(publisher, proposed), Some(Err(PublishError::Superseded)));
+    assert_eq!(domain.outcome(publisher, queued), Some(Err(PublishError::NotPublisher)));
 }
 
 #[test]
--- a/src/fleet/distribution/tests/log.rs
+++ b/src/fleet/distribution/tests/log.rs
@@ -1,7 +1,7 @@
 //! The log compared with a plain map: parts for any interest from any position, removals, digests, epochs.
 
 use super::*;
-use crate::fleet::distribution::log::{Log, MAX_TOMBSTONES};
+use crate::fleet::distribution::log::{Log, MAX_TOPIC_TOMBSTONES};
 use proptest::prelude::*;
 
 type Model = BTreeMap<(Topic, Key), Value>;
@@ -169,16 +169,16 @@
 #[test]
 fn old_tombstones_are_dropped_up_to_the_floor() {
     let mut log = Log::default();
-    let many = MAX_TOMBSTONES as u64 + 100;
+    let many = MAX_TOPIC_TOMBSTONES as u64 + 100;
     log.commit(1, (0..many).map(|id| worker(id, 0, 1)));
     log.commit(1, [worker(0, 1, 1)]);
     log.commit(1, (0..many).map(|id| removal(id, 0)));
     assert_eq!(log.len(), 1);
-    assert_eq!(log.floor(&zone_interest(&[0])), many + 1 + 100, "the first hundred are forgotten");
+    assert_eq!(log.floor(&zone_interest(&[0])), many + 1 + 100, "the first hundred tombstones are dropped");
     assert_eq!(log.floor(&zone_interest(&[1])), 0, "other topics remember all of theirs");
     assert_eq!(log.floor(&Interest::All), many + 1 + 100);
     let part = log.part(&zone_interest(&[0]), 0, log.version().sequence);
-    assert_eq!((part.changes.len(), part.upto), (0, log.version().sequence), "nothing stands");
+    assert_eq!((part.changes.len(), part.upto), (0, log.version().sequence), "no record is left");
     assert_eq!(log.part(&zone_interest(&[0]), many + 101, 0).changes[0], removal(100, 0));
 }
 
@@ -191,6 +191,6 @@
     assert!(!log.contains_version(Version { fence: 1, sequence: 1 }));
     assert!(log.contains_version(Version { fence: 50, sequence: 50 }));
     assert!(!log.contains_version(Version { fence: 50, sequence: 51 }));
-    assert!(!log.contains_version(Version { fence: 100, sequence: 101 }), "not come to yet");
+    assert!(!log.contains_version(Version { fence: 100, sequence: 101 }), "not reached yet");
     assert_eq!(log.epoch_start(), 100);
 }
--- a/src/fleet/distribution/tests/tree.rs
+++ b/src/fleet/distribution/tests/tree.rs
@@ -271,10 +271,10 @@
     domain.start(at);
     domain.run_ms(5_000);
     domain.assert_converged(publisher);
-    let whole = domain.status(survivor).counters.pages - before - rest;
+    let snapshot_pages = domain.status(survivor).counters.pages - before - rest;
     let window = 16;
     assert!(
-        sent > 30 && rest + sent <= whole + window,
-        "{sent} and {rest} pages, and {whole} without interruption"
+        sent > 30 && rest + sent <= snapshot_pages + window,
+        "{sent} and {rest} pages, and {snapshot_pages} without interruption"
     );
 }
--- a/tests/distribution/content.rs
+++ b/tests/distribution/content.rs
@@ -76,13 +76,13 @@
         assert!(!domain.all_have_head(), "seed {seed}: the invalid change was installed");
         let [_, _, load] = domain.measure(seconds(10));
         assert!(load.bytes_max < 15_000.0, "seed {seed}: a refused version is requested too often: {load:?}");
-        let mended = domain.touch_worker(6);
-        publish_committed(&mut domain, vec![mended.clone()]);
+        let corrected = domain.touch_worker(6);
+        publish_committed(&mut domain, vec![corrected.clone()]);
         assert_converges(&mut domain, seconds(5));
         for index in (0..40).step_by(2) {
             let status = domain.process(Role::Subscriber, index).unwrap().node().status(domain.now());
             assert_eq!(status.refused, None, "seed {seed}: subscriber {index}");
-            for change in good.iter().chain([&mended]) {
+            for change in good.iter().chain([&corrected]) {
                 assert!(has_record(&domain, Role::Subscriber, index, change), "seed {seed}: {change:?}");
             }
         }
--- a/tests/distribution/failures.rs
+++ b/tests/distribution/failures.rs
@@ -28,8 +28,9 @@
         let change = domain.touch(1);
         publish_committed(&mut domain, change);
         assert_converges(&mut domain, seconds(60));
-        let whole = |index: &usize| domain.process(Role::Subscriber, *index).unwrap().installs().len();
-        assert!(interrupted.iter().all(|index| whole(index) >= 1), "seed {seed}");
+        let install_count =
+            |index: &usize| domain.process(Role::Subscriber, *index).unwrap().installs().len();
+        assert!(interrupted.iter().all(|index| install_count(index) >= 1), "seed {seed}");
     }
 }
 
@@ -95,8 +96,8 @@
         let refused = domain.publish_at(old, vec![lost.clone()]);
         domain.run(seconds(3));
         domain.grant(new, seconds(3_600));
-        let stands = domain.touch_worker(1);
-        let ticket = domain.publish_at(new, vec![stands.clone()]);
+        let committed = domain.touch_worker(1);
+        let ticket = domain.publish_at(new, vec![committed.clone()]);
         domain.run(seconds(10));
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
         assert!(!matches!(domain.outcome(refused), Some(Ok(_))), "seed {seed}");
@@ -119,7 +120,7 @@
         domain.run(seconds(2));
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
         assert_converges(&mut domain, seconds(10));
-        assert!((0..5).all(|index| has_record(&domain, Role::Replica, index, &stands)), "seed {seed}");
+        assert!((0..5).all(|index| has_record(&domain, Role::Replica, index, &committed)), "seed {seed}");
     }
 }
 
--- a/tests/distribution/load.rs
+++ b/tests/distribution/load.rs
@@ -83,7 +83,10 @@
         // The complete list is sent once; hardly any page is sent again.
         let pages: Vec<u64> = domain.running(Role::Subscriber).map(|(_, process)| process.pages()).collect();
         let (least, sum) = (pages.iter().min().unwrap(), pages.iter().sum::<u64>());
-        assert!(sum * 4 <= least * 900 * 5, "seed {seed}: {least} pages are a whole list, {sum} were sent");
+        assert!(
+            sum * 4 <= least * 900 * 5,
+            "seed {seed}: {least} pages are a complete list, {sum} were sent"
+        );
         // The subscribers spread over the relays.
         for index in 0..6 {
             let children = domain.process(Role::Relay, index).unwrap().node().status(domain.now()).children;
--- a/tests/distribution_processes.rs
+++ b/tests/distribution_processes.rs
@@ -374,9 +374,9 @@
     assert_eq!(call_status(with_tone, "practice-check", 2), 79);
     assert_ne!(call_status(with_tone, "mock-exam", 3), 79);
     // The corrected version contains everything that was refused before.
-    let mut mended = domain.replicas[next].config.clone();
-    add_tone(&mut mended["settings"]);
-    domain.publish(next, &mended);
+    let mut corrected = domain.replicas[next].config.clone();
+    add_tone(&mut corrected["settings"]);
+    domain.publish(next, &corrected);
     domain.wait_installed(&[0, 1]);
     let with_tone = &domain.subscribers[1];
     wait_figure(with_tone, "cluster_size", 2);
