--- a/src/fleet/distribution/interface.rs
+++ b/src/fleet/distribution/interface.rs
@@ -54,7 +54,7 @@
         /// The messages, in order.
         messages: &'a [DistributionMessage],
     },
-    /// The time given by [`DistributionNode::next_timeout`] has been reached.
+    /// The time given by [`super::DistributionNode::next_timeout`] has been reached.
     Timer,
     /// The publish lease was granted, renewed, or lost (`None`).
     Lease(Option<LeaseGrant>),
