--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -14,6 +14,7 @@
 const PROBE_TIMEOUT: Duration = Duration::millis(300);
 
 impl Core {
+    /// Queues an event for the policy and processes the queue.
     pub(super) fn process_event(&mut self, now: Timestamp, event: Event) {
         self.backlog.push_back(event);
         self.process_backlog(now);
@@ -36,6 +37,7 @@
         self.loads.rate.expire_arrivals(now, self.site.settings.rules.load_rate_limit);
     }
 
+    /// Carries out one action of the policy.
     pub(super) fn carry_out(&mut self, now: Timestamp, action: &Action) {
         match *action {
             Action::Send { id, worker, timeout } => self.start_attempt(now, id, worker, timeout),
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -46,7 +46,8 @@
         self.accept(now, class, incoming);
     }
 
-    /// Rejects a request whose class only a former configuration had: it has not run. Fails one whose class never existed.
+    /// Rejects a request whose class only a former configuration had: it has not run. Fails one whose class never
+    /// existed.
     fn answer_unknown_class(&mut self, incoming: &IncomingRequest) {
         if self.counters.classes.contains_key(&incoming.class) {
             self.reject(incoming, RejectReason::Class, self.default_cooldown());
@@ -118,6 +119,7 @@
         self.answer(incoming.owner, Some(&incoming.class), Verdict::Refused { cooldown }, late);
     }
 
+    /// Counts a rejection by its reason and logs it.
     pub(super) fn count_rejection(&mut self, reference: &str, reason: RejectReason) {
         match reason {
             RejectReason::Full => self.counters.refused_full += 1,
--- a/src/core/chain_steps.rs
+++ b/src/core/chain_steps.rs
@@ -28,8 +28,8 @@
 }
 
 impl Core {
-    /// Sets whether chains may take until their clients give up, and not only the latency objective of their last step's
-    /// class.
+    /// Sets whether chains may take until their clients give up, and not only the latency objective of their last
+    /// step's class.
     pub fn chains_until_given_up(&mut self, until_given_up: bool) {
         self.chain_steps.machine.until_given_up = until_given_up;
     }
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -91,9 +91,12 @@
 /// An attempt that has not ended.
 pub(super) struct Attempt {
     pub(super) worker: WorkerId,
+    /// Index of its class in the site's settings.
     pub(super) class: usize,
+    /// When the policy decided to send it; its latency counts from here.
     pub(super) decided_at: Timestamp,
     pub(super) deadline: Timestamp,
+    /// When it was completely written, if it was.
     pub(super) written: Option<Timestamp>,
     /// Whether the last check before the write allowed it.
     pub(super) allowed: bool,
--- a/src/core/cordons.rs
+++ b/src/core/cordons.rs
@@ -3,7 +3,8 @@
 use crate::interface::{Member, State, Timestamp, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most ids that may be cordoned at a time. A bound is needed because ids stay cordoned while discovery does not list them.
+/// Most ids that may be cordoned at a time. A bound is needed because ids stay cordoned while discovery does not list
+/// them.
 const MAX_CORDONED: usize = 4096;
 
 /// Result of a cordon or uncordon.
@@ -77,8 +78,8 @@
         self.cordoned.iter().copied()
     }
 
-    /// A listed worker with the cordons applied: a cordoned worker drains, and an uncordoned one has started no earlier than
-    /// when it was uncordoned.
+    /// A listed worker with the cordons applied: a cordoned worker drains, and an uncordoned one has started no earlier
+    /// than when it was uncordoned.
     pub fn applied_to(&self, member: Member) -> Member {
         if member.state == State::Gone {
             return member;
--- a/src/core/fleet_leases.rs
+++ b/src/core/fleet_leases.rs
@@ -38,8 +38,8 @@
         previous.is_some() != grant.is_some()
     }
 
-    /// Whether the part is held under exactly this fence, with the margin left. A lease that was lost and granted again has
-    /// another fence; decisions made under the old one are not carried out.
+    /// Whether the part is held under exactly this fence, with the margin left. A lease that was lost and granted again
+    /// has another fence; decisions made under the old one are not carried out.
     pub(super) fn holds(&self, now: Timestamp, task: Task, fenced: Fenced) -> bool {
         let grant = self.grants.get(&TaskPart { task, part: fenced.part });
         grant.is_some_and(|grant| grant.fence == fenced.fence && now + LEASE_MARGIN < grant.until)
@@ -63,7 +63,8 @@
 }
 
 impl Core {
-    /// Another process of the fleet has probed a worker, at this time at the latest; `answers` tells whether it answered.
+    /// Another process of the fleet has probed a worker, at this time at the latest; `answers` tells whether it
+    /// answered.
     pub fn peer_health(&mut self, now: Timestamp, worker: WorkerId, answers: bool, at: Timestamp) {
         self.process_event(now, Event::PeerHealth(worker, answers, at));
     }
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -25,7 +25,8 @@
     SentLate,
     /// An attempt was written that no check before the write had allowed.
     SentUnchecked,
-    /// A request was written again after an attempt that may have run, and its class does not allow that, or not that late.
+    /// A request was written again after an attempt that may have run, and its class does not allow that, or not that
+    /// late.
     Repeated,
     /// Two attempts of one request were in flight at once.
     SecondAttempt,
--- a/src/core/list_watch.rs
+++ b/src/core/list_watch.rs
@@ -28,8 +28,8 @@
         self.unconfirmed_since.is_some()
     }
 
-    /// Records whether the list is valid by itself now and returns what changed. The list is always unconfirmed at the start
-    /// of the process, so that first period is not reported.
+    /// Records whether the list is valid by itself now and returns what changed. The list is always unconfirmed at the
+    /// start of the process, so that first period is not reported.
     pub(super) fn observe(&mut self, now: Timestamp, valid: bool) -> Option<ListChange> {
         if valid == self.unconfirmed_since.is_none() {
             return None;
--- a/src/core/load_requests.rs
+++ b/src/core/load_requests.rs
@@ -14,6 +14,7 @@
     pub(super) worker: WorkerId,
     pub(super) function: FunctionId,
     pub(super) instances: u8,
+    /// When the policy decided to send it; its latency and its timeout count from here.
     pub(super) decided_at: Timestamp,
     /// Whether the last check before the write allowed it.
     pub(super) allowed: bool,
--- a/src/core/log_limiter.rs
+++ b/src/core/log_limiter.rs
@@ -1,5 +1,5 @@
-//! A rate limit on log lines caused by clients: clients at full speed must not keep the scheduler busy writing its log and
-//! waiting for the log's reader.
+//! A rate limit on log lines caused by clients: clients at full speed must not keep the scheduler busy writing its log
+//! and waiting for the log's reader.
 
 use crate::interface::{Duration, Timestamp};
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,9 @@
 //! The scheduler around the policy, without sockets or a clock of its own.
 //!
-//! Listeners submit requests, connections to workers report how attempts and load requests end, and the surrounding adapter
-//! executes the [`Command`]s. Every method takes `now`. The core alone ensures that each accepted request has exactly one
-//! final answer, whatever the listener or the worker does. Each part of its state is a type in a file of its own.
+//! Listeners submit requests, connections to workers report how attempts and load requests end, and the surrounding
+//! adapter executes the [`Command`]s. Every method takes `now`. The core alone ensures that each accepted request has
+//! exactly one final answer, whatever the listener or the worker does. Each part of its state is a type in a file of
+//! its own.
 
 mod accepted_requests;
 mod actions;
@@ -73,10 +74,10 @@
 ///     owner, reference: "9b1f03aa5c7e2d41".into(), class: "check".into(), function: FunctionId(9), key: None,
 ///     memory_mb: 400.0, concurrency: 2.0, load_time: None, deadline: Timestamp(3_000_000_000), body: vec![],
 /// });
-/// let Some(Command::Send { attempt, .. }) = core.next_command() else { panic!("it is sent") };
+/// let Some(Command::Send { attempt, .. }) = core.next_command() else { panic!("no attempt was sent") };
 /// core.written(Timestamp(1), attempt);
 /// core.attempt_ended(Timestamp(2), attempt, Ok(Reply::Ok(b"4 of 5".to_vec())));
-/// let Some(Command::Answer { answer, .. }) = core.next_command() else { panic!("it is answered") };
+/// let Some(Command::Answer { answer, .. }) = core.next_command() else { panic!("no answer was sent") };
 /// assert_eq!(answer.verdict, Verdict::Served(b"4 of 5".to_vec()));
 /// ```
 pub struct Core {
@@ -243,6 +244,7 @@
         }
     }
 
+    /// Cancels an attempt whose deadline has passed.
     fn time_out_attempt(&mut self, now: Timestamp, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         self.commands.push_back(Command::Cancel { attempt: id, worker: attempt.worker });
--- a/src/core/outcomes.rs
+++ b/src/core/outcomes.rs
@@ -62,8 +62,8 @@
         self.answer(accepted.owner, Some(&accepted.work.class), Verdict::Served(body), false);
     }
 
-    /// An attempt was not sent for a reason on this side: it was no longer allowed, or there was no connection to send it
-    /// on. Unlike a failed connect, this says nothing about the worker.
+    /// An attempt was not sent for a reason on this side: it was no longer allowed, or there was no connection to send
+    /// it on. Unlike a failed connect, this says nothing about the worker.
     pub fn attempt_not_sent(&mut self, now: Timestamp, id: AttemptId) {
         if self.attempts.contains_key(&id) {
             self.counters.end(Status::NotSent);
@@ -115,6 +115,7 @@
         tracing::debug!(%reference, attempt = id.number, ?status, cause, "attempt ended");
     }
 
+    /// Removes an attempt and its timer, and reports its end to the policy.
     pub(super) fn end_attempt(&mut self, now: Timestamp, id: AttemptId, status: Status) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.timers.cancel(attempt.deadline, Timer::Attempt(id));
@@ -131,6 +132,8 @@
         }));
     }
 
+    /// Removes a probe and its timer, and reports its end to the policy and, if it was sent for the fleet, to the
+    /// fleet.
     pub(super) fn end_probe(&mut self, id: ProbeId, status: Status, report: Vec<f32>) {
         let Some(probe) = self.probes.remove(&id) else { return };
         if id.lease.is_some() && status != Status::NotSent {
@@ -155,6 +158,7 @@
         }
     }
 
+    /// Removes a load request and its timer, and reports its end to the policy.
     pub(super) fn end_load(&mut self, now: Timestamp, id: LoadId, result: LoadResult) {
         let Some(load) = self.loads.open.remove(&id) else { return };
         self.counters.orders_ended += 1;
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Applies the admission level that the fleet's controller published at this time; returns whether it is newer than the
-    /// previous one.
+    /// Applies the admission level that the fleet's controller published at this time; returns whether it is newer than
+    /// the previous one.
     pub fn follow(&mut self, level: AdmissionLevel, at: Timestamp) -> bool {
         self.overload.as_mut().is_some_and(|overload| overload.gate.receive(level, at))
     }
--- a/src/core/stored_forms.rs
+++ b/src/core/stored_forms.rs
@@ -1,4 +1,5 @@
-//! Exact lines of the trace: some of their keys and values are names from the source code, and operators search for them.
+//! Exact lines of the trace: some of their keys and values are names from the source code, and operators search for
+//! them.
 
 use super::admission::RejectReason;
 use super::*;
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -176,8 +176,8 @@
 proptest! {
     #![proptest_config(crate::drawn())]
 
-    /// For any lists, cordons, settings and outcomes in any order: each request gets one final answer, nothing is sent to
-    /// a worker that is not listed as ready or is cordoned, and no state is left over.
+    /// For any lists, cordons, settings and outcomes in any order: each request gets one final answer, nothing is sent
+    /// to a worker that is not listed as ready or is cordoned, and no state is left over.
     #[test]
     fn any_order_of_events_gives_each_request_one_answer(
         ops in prop::collection::vec((0u8..9, 0u64..6, 0u64..64, 0u8..12), 1..120)
@@ -288,7 +288,8 @@
     }
 }
 
-/// Load requests that were queued behind a slow connection must not exceed the rate limit when they are written together.
+/// Load requests that were queued behind a slow connection must not exceed the rate limit when they are written
+/// together.
 #[test]
 fn the_load_rate_limit_holds_when_load_requests_are_written() {
     let mut core = core();
@@ -431,8 +432,8 @@
     assert!(matches!(&commands[..], [Command::Answer { answer, .. }] if answer.verdict == Verdict::Failed));
 }
 
-/// A shed request is rejected at once with a cooldown, before it reaches the policy, and no attempt is sent. The rate limit
-/// of loads counts it as received.
+/// A shed request is rejected at once with a cooldown, before it reaches the policy, and no attempt is sent. The rate
+/// limit of loads counts it as received.
 #[test]
 fn shed_requests_are_rejected_at_once_and_admitted_ones_are_counted() {
     let mut core = core();
@@ -454,8 +455,8 @@
     assert_eq!(core.demand(AT_MS(9_000)).open, 0, "a request that has timed out is not open");
 }
 
-/// A probe or load request decided under a lease is written only under that grant of the lease, with time left, and under
-/// no later grant: a process that was suspended in between must not act at the same time as the next holder.
+/// A probe or load request decided under a lease is written only under that grant of the lease, with time left, and
+/// under no later grant: a process that was suspended in between must not act at the same time as the next holder.
 #[test]
 fn queued_messages_are_not_written_once_their_lease_has_ended() {
     let mut core = core();
@@ -499,8 +500,8 @@
     assert!(may_write(&mut core, 60, again));
 }
 
-/// Two attempts are written at the same timestamp, and the second never runs. The first may have run all the same, so the
-/// request must not be retried outside the window that began with the first.
+/// Two attempts are written at the same timestamp, and the second never runs. The first may have run all the same, so
+/// the request must not be retried outside the window that began with the first.
 #[test]
 fn an_attempt_that_never_ran_does_not_reset_the_deduplication_window() {
     let mut core = core();
--- a/src/core/transferred_state.rs
+++ b/src/core/transferred_state.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The old process's state. Timestamps are nanoseconds of its own clock, except the starts of workers, which are Unix time
-/// as discovery lists them.
+/// The old process's state. Timestamps are nanoseconds of its own clock, except the starts of workers, which are Unix
+/// time as discovery lists them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransferredState {
     /// Version of its messages.
--- a/src/core/worker_list.rs
+++ b/src/core/worker_list.rs
@@ -62,8 +62,8 @@
         self.cordons.cordoned().filter(|worker| self.listed.contains_key(worker)).count()
     }
 
-    /// Whether a worker may be sent new work. A change of the list is in force from the moment it is in discovery, which may
-    /// be long before it is received here, so nothing that is still queued is written once a drain is known.
+    /// Whether a worker may be sent new work. A change of the list is in force from the moment it is in discovery,
+    /// which may be long before it is received here, so nothing that is still queued is written once a drain is known.
     pub(super) fn accepts_work(&self, worker: WorkerId) -> bool {
         self.effective_of(worker).is_some_and(|member| member.state == State::Ready)
     }
--- a/src/core/worker_updates.rs
+++ b/src/core/worker_updates.rs
@@ -21,8 +21,8 @@
         self.counters.discovery_lost += 1;
     }
 
-    /// A frame arrived from discovery, whatever it contains: by then discovery had sent all that it knew. The frame may have
-    /// been in the socket buffer since `at`.
+    /// A frame arrived from discovery, whatever it contains: by then discovery had sent all that it knew. The frame may
+    /// have been in the socket buffer since `at`.
     pub fn discovery_received(&mut self, now: Timestamp, at: Timestamp) {
         self.list_watch.discovery_lost = false;
         if !self.list_watch.is_distributed {
@@ -37,14 +37,15 @@
         }
     }
 
-    /// The domain has confirmed the list as of `at`. From now on the list comes from the domain, and discovery is ignored.
+    /// The domain has confirmed the list as of `at`. From now on the list comes from the domain, and discovery is
+    /// ignored.
     pub fn list_confirmed_by_domain(&mut self, now: Timestamp, at: Timestamp) {
         self.list_watch.is_distributed = true;
         self.process_event(now, Event::ListSource(ListSource::Confirmed { at }));
     }
 
-    /// Sets whether the list follows a source that may become unreachable; workers in `fixed` do not depend on it. Without a
-    /// source, the list stays valid until it is changed.
+    /// Sets whether the list follows a source that may become unreachable; workers in `fixed` do not depend on it.
+    /// Without a source, the list stays valid until it is changed.
     pub fn set_list_source(&mut self, now: Timestamp, follows: bool, fixed: BTreeSet<WorkerId>) {
         let source = if follows { ListSource::Followed { fixed } } else { ListSource::Fixed };
         self.process_event(now, Event::ListSource(source));
--- a/src/core/write_checks.rs
+++ b/src/core/write_checks.rs
@@ -84,8 +84,8 @@
             .is_some_and(|load| load.instances == 0 || self.accepts_work(now, load.worker))
     }
 
-    /// Whether a probe may still be written; one for the whole fleet only under its lease. `now` must have been read just
-    /// for this check.
+    /// Whether a probe may still be written; one for the whole fleet only under its lease. `now` must have been read
+    /// just for this check.
     pub fn may_write_probe(&self, now: Timestamp, id: ProbeId) -> bool {
         self.probes.contains_key(&id)
             && id.lease.is_none_or(|fenced| self.leases.holds(now, Task::Probe, fenced))
--- a/tests/discovery_outage.rs
+++ b/tests/discovery_outage.rs
@@ -1,12 +1,12 @@
 //! An outage of discovery, with real processes, that lasts longer than a drain may go unreceived.
 //!
-//! Guards against this failure: discovery became unreachable for all schedulers, and two busy workers began to drain right
-//! after, rejecting every new request and load request. A drain counts as received seven seconds after it was put into
-//! discovery, whether it arrived or not, and a grace later no new work may be sent to the worker. All schedulers went on for
-//! the whole outage: 2,331 sends and 71 load requests too many. A worker once listed as ready was taken to be ready while
-//! discovery was silent: no decision considered the age of the list, and the workers were not probed, although a draining
-//! worker answers a probe with `dead` and a ready one with `alive`. The evidence: each scheduler's log showed only
-//! `discovery silent`, and the sends were spread evenly over all schedulers and the whole outage.
+//! Guards against this failure: discovery became unreachable for all schedulers, and two busy workers began to drain
+//! right after, rejecting every new request and load request. A drain counts as received seven seconds after it was put
+//! into discovery, whether it arrived or not, and a grace later no new work may be sent to the worker. All schedulers
+//! went on for the whole outage: 2,331 sends and 71 load requests too many. A worker once listed as ready was taken to
+//! be ready while discovery was silent: no decision considered the age of the list, and the workers were not probed,
+//! although a draining worker answers a probe with `dead` and a ready one with `alive`. The evidence: each scheduler's
+//! log showed only `discovery silent`, and the sends were spread evenly over all schedulers and the whole outage.
 
 #![allow(
     clippy::unwrap_used,
@@ -86,8 +86,8 @@
     }
 }
 
-/// A worker that drains on command as the platform's workers do: it answers probes accordingly, rejects new requests and
-/// load requests, and keeps running.
+/// A worker that drains on command as the platform's workers do: it answers probes accordingly, rejects new requests
+/// and load requests, and keeps running.
 struct DrainingWorker {
     /// Since when it drains.
     since: Arc<Mutex<Option<Instant>>>,
@@ -222,7 +222,11 @@
     }
     for daemon in &daemons {
         let outages = u64::from(outage != Outage::Mute);
-        assert_eq!(daemon.counter("discovery_lost"), outages, "each scheduler noticed exactly one outage");
+        assert_eq!(
+            daemon.counter("discovery_lost"),
+            outages,
+            "each scheduler notices the expected number of outages"
+        );
     }
     for (n, worker) in workers[..2].iter().enumerate() {
         let late = worker.late_messages();
--- a/tests/instants.rs
+++ b/tests/instants.rs
@@ -98,17 +98,17 @@
 #[test]
 fn sighup_while_the_configuration_is_first_read_reloads_it() {
     let worker = Worker::over_tcp();
-    let model = Daemon::start(&[&worker]);
+    let template = Daemon::start(&[&worker]);
     let folder = Arc::new(Folder::new());
     let path = folder.at("config.json");
     assert!(Program::new("mkfifo").arg(&path).status().unwrap().success());
-    let mut daemon = Daemon::spawn(folder.clone(), model.config.clone(), None);
+    let mut daemon = Daemon::spawn(folder.clone(), template.config.clone(), None);
     // Opening blocks until the daemon opens the pipe; the daemon then waits for its contents.
     let mut pipe = std::fs::File::options().write(true).open(&path).unwrap();
-    std::fs::write(folder.at("new.json"), model.config.to_string()).unwrap();
+    std::fs::write(folder.at("new.json"), template.config.to_string()).unwrap();
     std::fs::rename(folder.at("new.json"), &path).unwrap();
     daemon.signal("HUP");
-    pipe.write_all(model.config.to_string().as_bytes()).unwrap();
+    pipe.write_all(template.config.to_string().as_bytes()).unwrap();
     drop(pipe);
     daemon.serves();
     daemon.wait_log("mintgate: reloaded");
@@ -139,8 +139,8 @@
     assert!(first.quiet(), "it is draining");
 }
 
-/// Idle clients use every descriptor available to clients while discovery is down. The daemon still connects to discovery,
-/// applies its events and reaches the worker that it lists.
+/// Idle clients use every descriptor available to clients while discovery is down. The daemon still connects to
+/// discovery, applies its events and reaches the worker that it lists.
 #[test]
 fn discovery_and_workers_are_reached_while_clients_use_all_their_descriptors() {
     let (worker, at) = (Worker::over_tcp(), TcpListener::bind("127.0.0.78:0").unwrap().local_addr().unwrap());
@@ -169,14 +169,14 @@
     assert!(held <= 96, "{held} descriptors");
 }
 
-/// `accept` fails for lack of descriptors while clients wait, and epoll reports those clients only once. They are accepted
-/// as soon as a descriptor is free, even if no other client connects.
+/// `accept` fails for lack of descriptors while clients wait, and epoll reports those clients only once. They are
+/// accepted as soon as a descriptor is free, even if no other client connects.
 #[test]
 fn a_client_that_found_no_descriptor_is_accepted_later() {
     let worker = Worker::over_tcp();
-    let model = Daemon::start(&[&worker]);
+    let template = Daemon::start(&[&worker]);
     worker.serve(echo);
-    let mut daemon = model.scarce(40);
+    let mut daemon = template.scarce(40);
     daemon.serves();
     let mut clients: Vec<Frames> = (0..60).map(|_| Frames::connect(daemon.listen)).collect();
     daemon.wait_log("accept failed");
@@ -199,7 +199,8 @@
     assert_eq!(worker.next().word(), "halt");
 }
 
-/// A cancel frame (type 2) for a stream that was never opened, has been answered or was already cancelled has no effect.
+/// A cancel frame (type 2) for a stream that was never opened, has been answered or was already cancelled has no
+/// effect.
 #[test]
 fn an_unneeded_cancel_has_no_effect() {
     let worker = Worker::over_tcp();
@@ -238,8 +239,8 @@
     assert!(worker.quiet());
 }
 
-/// A new configuration is loaded between the attempts of a request. The request keeps the class under which it was accepted,
-/// whose deduplication window has passed; a request that arrives later has the new class.
+/// A new configuration is loaded between the attempts of a request. The request keeps the class under which it was
+/// accepted, whose deduplication window has passed; a request that arrives later has the new class.
 #[test]
 fn a_request_keeps_the_class_under_which_it_was_accepted() {
     let worker = Worker::over_tcp();
@@ -269,8 +270,8 @@
     assert_eq!(client.next(), Some((1, 2, vec![79, 0, b'x'])));
 }
 
-/// A worker is replaced by another at the same address while connections to the old one are still open. Nothing new is sent
-/// on those, and requests open there are still answered.
+/// A worker is replaced by another at the same address while connections to the old one are still open. Nothing new is
+/// sent on those, and requests open there are still answered.
 #[test]
 fn a_new_worker_at_an_old_address_gets_new_connections() {
     let (worker, bus) = (Worker::over_tcp(), Bus::new());
@@ -297,8 +298,8 @@
     assert_eq!(client.next(), Some((1, 2, vec![79, 0, b'y'])));
 }
 
-/// The old and the new process of an upgrade are one scheduler with one rate limit on load requests. A load request that the
-/// old process sent after it has handed over its state would be missing from the new one's count.
+/// The old and the new process of an upgrade are one scheduler with one rate limit on load requests. A load request
+/// that the old process sent after it has handed over its state would be missing from the new one's count.
 #[test]
 fn both_processes_of_an_upgrade_share_one_load_rate_limit() {
     let worker = Worker::over_tcp();
@@ -347,8 +348,8 @@
     assert_eq!(new_verdicts, [79, 79, 66], "the new process may use what is left of the limit");
 }
 
-/// A worker closes an idle connection while a request is written to it. The request may have run and is retried on a new
-/// connection inside its deduplication window, in whichever order the daemon sees the two events.
+/// A worker closes an idle connection while a request is written to it. The request may have run and is retried on a
+/// new connection inside its deduplication window, in whichever order the daemon sees the two events.
 #[test]
 fn a_request_written_while_its_worker_closes_is_retried() {
     for close_first in [true, false] {
@@ -378,8 +379,8 @@
     }
 }
 
-/// SIGTERM, SIGHUP and another SIGTERM arrive while one request is in flight, one is half read, one is about to be retried
-/// and one has not arrived yet: each is answered.
+/// SIGTERM, SIGHUP and another SIGTERM arrive while one request is in flight, one is half read, one is about to be
+/// retried and one has not arrived yet: each is answered.
 #[test]
 fn requests_received_before_the_end_are_all_answered() {
     let worker = Worker::over_tcp();
@@ -417,8 +418,8 @@
     assert!(daemon.wait_log("mintgate: ended").contains(" served=5 "));
 }
 
-/// Discovery sends half a frame and stops, closes several connections, and repeats an earlier event. Each time the daemon
-/// reconnects and requests what follows the last complete event; a repeated event is ignored.
+/// Discovery sends half a frame and stops, closes several connections, and repeats an earlier event. Each time the
+/// daemon reconnects and requests what follows the last complete event; a repeated event is ignored.
 #[test]
 fn discovery_is_requested_from_the_last_complete_event() {
     let (first, second, bus) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new());
@@ -449,8 +450,8 @@
     drop(feed);
 }
 
-/// A client that still sends requests after all clients have been told to leave is rejected at once, so that no new request
-/// could be left unanswered by SIGKILL.
+/// A client that still sends requests after all clients have been told to leave is rejected at once, so that no new
+/// request could be left unanswered by SIGKILL.
 #[test]
 fn requests_after_all_clients_were_told_to_leave_are_rejected() {
     let worker = Worker::over_tcp();
@@ -473,8 +474,8 @@
     assert!(daemon.ends());
 }
 
-/// After SIGTERM, the connection breaks under a keyed request that may have run and whose deduplication window has passed.
-/// It is not retried, and its client is answered before the process ends.
+/// After SIGTERM, the connection breaks under a keyed request that may have run and whose deduplication window has
+/// passed. It is not retried, and its client is answered before the process ends.
 #[test]
 fn a_keyed_request_that_may_have_run_is_answered_before_the_end() {
     let worker = Worker::over_tcp();
@@ -492,8 +493,8 @@
     assert!(worker.quiet());
 }
 
-/// A new configuration allows fewer descriptors than are in use: clients with open requests keep their connections, and new
-/// clients are accepted.
+/// A new configuration allows fewer descriptors than are in use: clients with open requests keep their connections, and
+/// new clients are accepted.
 #[test]
 fn limits_below_the_descriptors_in_use_close_no_active_connection() {
     let worker = Worker::over_tcp();
@@ -513,8 +514,8 @@
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'y'])));
 }
 
-/// A request is in the socket buffer while the daemon is suspended: the worker is given the time that its client has left,
-/// and a request that has expired by then is not started.
+/// A request is in the socket buffer while the daemon is suspended: the worker is given the time that its client has
+/// left, and a request that has expired by then is not started.
 #[test]
 fn a_request_from_the_socket_buffer_has_no_more_time_than_its_client() {
     let worker = Worker::over_tcp();
@@ -578,7 +579,7 @@
 /// Clients wait on a listening socket that outlives its process until another process takes it over. How long they have
 /// waited is unknown, so their requests are rejected, and no worker is given time that may have passed.
 #[test]
-fn requests_that_waited_on_a_dead_processs_listener_are_rejected() {
+fn requests_that_waited_on_the_listener_of_a_dead_process_are_rejected() {
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let first = Daemon::start(&[&worker]);
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -262,7 +262,8 @@
     assert_eq!(send_targets(&rig.end_load(next[0], 7, Status::Ok)), next);
 }
 
-/// During an outage, starts of workers are not reported. A worker that was away and accepts work again is treated as cold.
+/// During an outage, starts of workers are not reported. A worker that was away and accepts work again is treated as
+/// cold.
 #[test]
 fn a_worker_that_returns_during_an_outage_is_cold() {
     let sent_to = |comes_back: bool| {
@@ -315,8 +316,8 @@
     assert!(!rig.policy.is_confirmed(WorkerId(1), until + Duration::millis(1)));
 }
 
-/// A drain right after discovery's last message counts as received 7 s later, so the list is valid for those 7 s and the
-/// grace at most.
+/// A drain right after discovery's last message counts as received 7 s later, so the list is valid for those 7 s and
+/// the grace at most.
 #[test]
 fn without_health_checks_the_list_is_valid_no_longer_than_a_drain_may_go_unreceived() {
     let mut settings = settings(OnMiss::Load);
@@ -366,7 +367,8 @@
 /// Without health checks, drains begin only within the first second of an outage: those before the next heartbeat would
 /// have been due.
 const LATEST_UNCHECKED_DRAIN_MS: u64 = 1_000;
-/// A drain counts as received no sooner than this after the last message from discovery, by the documented rule for breaks.
+/// A drain counts as received no sooner than this after the last message from discovery, by the documented rule for
+/// breaks.
 const MIN_RECEIVE_DELAY: Duration = Duration::millis(2_000);
 /// What discovery has listed counts as received after this time at the latest.
 const MAX_RECEIVE_DELAY: Duration = Duration::millis(7_000);
