--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -109,7 +109,8 @@
             if at <= stored.at {
                 return None;
             }
-            // An unchanged observation is not sent again within a short time: otherwise every health check of a worker would be.
+            // An unchanged observation is not sent again within a short time: otherwise every health check of a
+            // worker would be.
             if stored.update != update || at - stored.at >= UNCHANGED_RESEND_INTERVAL {
                 stored.transmissions = 0;
             }
--- a/src/fleet/lease/mod.rs
+++ b/src/fleet/lease/mod.rs
@@ -7,7 +7,8 @@
 //!
 //! - an acceptor with a valid grant makes no promise to another process ([`acceptor`]);
 //! - an acceptor grants for a full term from the receipt of the request; a holder counts a term that
-//!   is shorter by the possible clock drift, from before its request was sent ([`LeaseConfig::holder_term`], [`proposer`]);
+//!   is shorter by the possible clock drift, from before its request was sent ([`LeaseConfig::holder_term`],
+//!   [`proposer`]);
 //! - a grant counts only for the round of requests that it answers ([`proposer`]);
 //! - an acceptor that has just started knows no earlier grants, so it votes only after a grace period of the longest
 //!   term, and after it has received the highest counters from others ([`acceptor`]);
@@ -96,7 +97,7 @@
     pub holder_term: Duration,
     /// Time after its start in which an acceptor does not vote: at least the longest term ever configured.
     pub grace_period: Duration,
-    /// Number of voting acceptors whose counters an acceptor that has started must know before it votes.
+    /// Number of voting acceptors whose counters a restarted acceptor must know before it votes.
     pub recovery_quorum: usize,
     /// Unit of backoff, both between attempts of one process and between candidates of successive ranks.
     pub backoff_step: Duration,
--- a/src/fleet/lease/model.rs
+++ b/src/fleet/lease/model.rs
@@ -131,7 +131,8 @@
             nodes[*to as usize].may_have_effect(LEASE_ID, *from, *message, &self.config)
                 || request && (may_crash == Some(*to as usize) || awaited())
         });
-        // States that differ only by a shift in time are equal: instead of the clocks advancing, timeouts come closer.
+        // States that differ only by a shift in time are equal: each clock is reset, and all its times are shifted
+        // with it.
         for (lease_node, clock) in state.nodes.iter_mut().zip(&mut state.clocks) {
             lease_node.shift_times(*clock, NORMALIZED_NOW, &self.config);
             *clock = NORMALIZED_NOW;
@@ -309,7 +310,7 @@
     );
 }
 
-/// An acceptor that is no candidate crashes and loses all its promises and grants.
+/// An acceptor that is not a candidate crashes and loses all its promises and grants.
 fn acceptor_crashes() -> Fleet {
     Fleet {
         max_crashes: 1,
--- a/src/fleet/lease/proposer.rs
+++ b/src/fleet/lease/proposer.rs
@@ -38,9 +38,9 @@
     /// The highest counter known.
     counter: u64,
     grant: Option<LeaseGrant>,
-    /// When to act next; `None` if this process is no candidate and does not hold the lease.
+    /// When to act next; `None` if this process is not a candidate and does not hold the lease.
     act_at: Option<Timestamp>,
-    /// Its rank among the candidates: those with higher ranks wait longer. `None` if it is no candidate.
+    /// Its rank among the candidates: those with higher ranks wait longer. `None` if it is not a candidate.
     rank: Option<u32>,
     /// Number of successive failed attempts.
     failures: u32,
@@ -48,7 +48,7 @@
 }
 
 impl Proposer {
-    /// A proposer that is no candidate yet.
+    /// A proposer that is not a candidate yet.
     pub fn new(process: Process) -> Proposer {
         Proposer {
             process,
@@ -72,7 +72,7 @@
         self.act_at.into_iter().chain(self.grant.map(|grant| grant.until)).min()
     }
 
-    /// Sets its rank among the candidates, from 0; `None` if it is no candidate. A holder keeps the lease until it is
+    /// Sets its rank among the candidates, from 0; `None` if it is not a candidate. A holder keeps the lease until it is
     /// released.
     pub fn set_rank(&mut self, now: Timestamp, rank: Option<u32>, config: &LeaseConfig) {
         if self.rank == rank {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Releases the lease, so that acceptors may grant it to others immediately. This process is no candidate until
+    /// Releases the lease, so that acceptors may grant it to others immediately. This process is not a candidate until
     /// [`Proposer::set_rank`] makes it one.
     pub fn release(&mut self) -> Option<LeaseMessage> {
         let held = self.grant.take();
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! The processes of one fleet: membership, leases of tasks that one process at a time
-//! performs for the whole fleet, and gossip.
+//! The processes of one fleet: membership, leases on tasks that one process at a time performs for the whole fleet, and
+//! gossip.
 //!
 //! [`FleetNode`] is one process without sockets and without a clock: its inputs are datagrams and the time, its
-//! outputs datagrams and changes of state. It combines [`membership`], [`lease`], [`gossip`] and [`overload`]. `docs/fleet.md`
-//! gives the design.
+//! outputs datagrams and changes of state. It combines [`membership`], [`lease`], [`gossip`] and
+//! [`overload`]. `docs/fleet.md` gives the design.
 
 pub mod distribution;
 pub mod gossip;
--- a/src/fleet/node/held_leases.rs
+++ b/src/fleet/node/held_leases.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaseChange {
     pub lease: LeaseId,
-    /// The new grant; `None` where the lease is no longer held.
+    /// The new grant; `None` if the lease is no longer held.
     pub grant: Option<LeaseGrant>,
 }
 
--- a/src/fleet/node/interface.rs
+++ b/src/fleet/node/interface.rs
@@ -18,7 +18,8 @@
     pub generation: u64,
     /// The address on which this process receives datagrams.
     pub address: SocketAddr,
-    /// Hash of the fleet's name and of the settings on which its processes must agree; see [`crate::fleet::message::fleet`].
+    /// Hash of the fleet's name and of the settings on which its processes must agree; see
+    /// [`crate::fleet::message::fleet`].
     pub fleet_hash: u64,
     /// Addresses of the lease acceptors, by index (the operators' `electors`).
     pub acceptors: BTreeMap<u32, SocketAddr>,
--- a/src/fleet/node/lease_preference.rs
+++ b/src/fleet/node/lease_preference.rs
@@ -1,8 +1,8 @@
 //! Decides for which leases a process is a candidate, and to which members it returns them.
 //!
-//! Every member orders the members for each lease by the same hash (rendezvous hashing). The first [`CANDIDATES_PER_LEASE`] of
-//! that order are candidates for the lease. A holder that is not the first returns the lease once the first has been up
-//! for long enough.
+//! Every member orders the members for each lease by the same hash (rendezvous hashing). The first
+//! [`CANDIDATES_PER_LEASE`] of that order are candidates for the lease. A holder that is not the first returns the
+//! lease once the first has been up for long enough.
 
 use super::FleetNode;
 use super::lease_ids::{PUBLISH_LEASE, lease_of};
--- a/src/fleet/node/status.rs
+++ b/src/fleet/node/status.rs
@@ -17,7 +17,7 @@
     pub process: Process,
     /// Indices of the other members.
     pub members: Vec<u32>,
-    /// Whether its acceptor votes; `None` if it is no acceptor.
+    /// Whether its acceptor votes; `None` if it is not an acceptor.
     pub votes: Option<bool>,
     /// The leases of all parts of all tasks.
     pub leases: Vec<LeaseStatus>,
--- a/src/fleet/overload/controller.rs
+++ b/src/fleet/overload/controller.rs
@@ -67,7 +67,8 @@
 }
 
 impl OverloadController {
-    /// Records the demand that a process, possibly this one, measured at `at`. A report older than the known one is ignored.
+    /// Records the demand that a process, possibly this one, measured at `at`. A report older than the known one is
+    /// ignored.
     pub fn receive(&mut self, now: Timestamp, index: u32, demand: Demand, at: Timestamp) {
         self.reports.retain(|_, report| now - report.at < REPORT_LIFETIME);
         if self.reports.len() < MAX_PEERS || self.reports.contains_key(&index) {
@@ -114,7 +115,8 @@
             let limited = previous.filter(|level| level.admit != AdmissionLevel::ADMIT_ALL);
             self.limit = limited.map(|level| admitted_rate(&offered, level));
         }
-        // Under overload the workers complete fewer requests than they could, so an earlier, higher capacity counts for a while.
+        // Under overload the workers complete fewer requests than they could, so an earlier, higher capacity counts
+        // for a while.
         self.capacity = served.max(self.capacity * CAPACITY_DECAY);
         let excess = open - self.capacity * latency_objective.secs() * TARGET_WAIT_FRACTION;
         if excess > 0.0 && open >= MIN_OPEN_REQUESTS {
--- a/src/fleet/overload/tests.rs
+++ b/src/fleet/overload/tests.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
-/// The point in time so many milliseconds after the clock's zero.
+/// The point in time `ms` milliseconds after the clock's zero.
 const AT_MS: fn(u64) -> Timestamp = |ms| Timestamp(ms * 1_000_000);
 
 const LATENCY_OBJECTIVE: Duration = Duration::millis(1_000);
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The point in time so many milliseconds after the nodes' start.
+/// The point in time `ms` milliseconds after the nodes' start.
 const AT_MS: fn(u64) -> Timestamp = |ms| Timestamp(1_000_000_000_000 + ms * 1_000_000);
 const LEASE_TERM: Duration = Duration::millis(1_000);
 
--- a/src/handover/state.rs
+++ b/src/handover/state.rs
@@ -302,7 +302,8 @@
         if version != VERSION || name != self.name {
             return vec![HandoverOutput::Disconnect(peer, DisconnectReason::OtherScheduler)];
         }
-        // Only one process takes over at a time. The rejected one retries, and connects to the process that serves by then.
+        // Only one process takes over at a time. The rejected one retries, and connects to the process that serves by
+        // then.
         if self.newer.is_some() {
             return vec![HandoverOutput::Disconnect(peer, DisconnectReason::Occupied)];
         }
@@ -317,7 +318,8 @@
     fn disconnected(&mut self, now: Timestamp, peer: u64) -> Vec<HandoverOutput> {
         if self.older == Some(peer) {
             self.older = None;
-            // Connect again: if the older process was killed, it no longer listens and the attempt shows that.
+            // Either it was killed or only the connection was lost. Connecting again tells: a killed process no
+            // longer listens.
             if let Phase::AwaitingState { deadline, .. } = self.phase {
                 self.phase = Phase::AwaitingState { deadline, retry_at: Some(now + RETRY_PAUSE) };
                 return vec![];
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -25,8 +25,8 @@
 fn the_figures_count_each_final_answer_and_attempt() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    worker.serve(|heard| {
-        if heard.line["rid"] == "0000000000000002" { Some(("500", String::new())) } else { echo(heard) }
+    worker.serve(|received| {
+        if received.line["rid"] == "0000000000000002" { Some(("500", String::new())) } else { echo(received) }
     });
     assert_eq!(daemon.operate("GET", "/api/ready"), (200, "ready\n".to_owned()));
     assert_eq!(daemon.figure("answered.credit-submit"), Some(0), "the figure is there from the start");
@@ -52,18 +52,18 @@
 /// continue. A single uncordon ends this, however often it was cordoned.
 #[test]
 fn a_cordoned_worker_receives_no_requests_until_it_is_uncordoned() {
-    let (one, two) = (Worker::over_tcp(), Worker::over_tcp());
+    let (first, second) = (Worker::over_tcp(), Worker::over_tcp());
     let bus = Bus::new();
     let at = bus.0.local_addr().unwrap();
-    let daemon = Daemon::with(&[&one, &two], settings(), Some(at), |_| String::new());
+    let daemon = Daemon::with(&[&first, &second], settings(), Some(at), |_| String::new());
     let mut client = Frames::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2500, b"x")));
     let (mut open, home, other) = loop {
-        if let Some(heard) = one.poll() {
-            break (heard, (1, &one), (2, &two));
+        if let Some(received) = first.poll() {
+            break (received, (1, &first), (2, &second));
         }
-        if let Some(heard) = two.poll() {
-            break (heard, (2, &two), (1, &one));
+        if let Some(received) = second.poll() {
+            break (received, (2, &second), (1, &first));
         }
     };
     let id = format!("s-{:08x}", home.0);
@@ -72,19 +72,19 @@
     }
     assert_eq!(daemon.figure("cluster_unhealthy"), Some(1));
     // Discovery reports the worker as removed, then as back.
-    let (mut feed, _) = bus.accept();
-    feed.write_all(&[event(2, home.0, home.1, 2), event(3, home.0, home.1, 0)].concat()).unwrap();
+    let (mut discovery, _) = bus.accept();
+    discovery.write_all(&[event(2, home.0, home.1, 2), event(3, home.0, home.1, 0)].concat()).unwrap();
     daemon.wait_counter("list_events", 3);
     open.answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])), "the open request is answered");
     for stream in 2..8 {
         client.send(&frame(0, stream, &call("practice-check", &format!("{stream:016x}"), 2000, b"y")));
-        let mut heard = other.1.next();
-        while heard.word() != "go" {
-            heard.answer("200", "");
-            heard = other.1.next();
+        let mut received = other.1.next();
+        while received.word() != "go" {
+            received.answer("200", "");
+            received = other.1.next();
         }
-        heard.answer("200", "eA==");
+        received.answer("200", "eA==");
         assert_eq!(client.next(), Some((1, stream, vec![79, 0, b'x'])));
     }
     assert!(home.1.quiet(), "no new request reached it");
@@ -96,13 +96,13 @@
     let other_id = format!("s-{:08x}", other.0);
     assert_eq!(daemon.operate("POST", &format!("/api/exclude?name={other_id}")).0, 200);
     client.send(&frame(0, 9, &call("practice-check", "0000000000000009", 2500, b"y")));
-    let mut heard = home.1.next();
-    while heard.word() != "go" {
-        heard.answer("200", "");
-        heard = home.1.next();
+    let mut received = home.1.next();
+    while received.word() != "go" {
+        received.answer("200", "");
+        received = home.1.next();
     }
-    assert_ne!(heard.connection, open.connection);
-    heard.answer("200", "eA==");
+    assert_ne!(received.connection, open.connection);
+    received.answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 9, vec![79, 0, b'x'])));
     assert_eq!(daemon.operate("POST", &format!("/api/exclude?name={id}")).0, 200);
     assert_eq!(daemon.operate("GET", "/api/ready").0, 503, "no worker is left for a request");
@@ -170,8 +170,8 @@
     let lines = workers.map(|worker| worker.serve(echo));
     let mut client = Frames::connect(old.listen);
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
-    let whole = frame(0, 2, &call("practice-check", "00000000000000bb", 2500, b"x"));
-    client.send(&whole[..20]);
+    let encoded = frame(0, 2, &call("practice-check", "00000000000000bb", 2500, b"x"));
+    client.send(&encoded[..20]);
     assert_eq!(exclude(&old, 1), 200);
     let mut new = old.beside(&listener);
     new.serves();
@@ -192,7 +192,7 @@
     let mut other = Frames::connect(old.listen);
     assert_eq!(serve_one(&mut other, 3), Some((1, 3, vec![79, 0, b'x'])));
     assert_eq!(new.figure("answered.practice-check"), Some(1), "the new process accepted it");
-    client.send(&whole[20..]);
+    client.send(&encoded[20..]);
     assert_eq!(client.next(), Some((9, 0, vec![])));
     assert_eq!(
         client.next(),
@@ -269,20 +269,20 @@
     let body: Vec<u8> = (0..230_000u32).map(|n| n as u8).collect();
     let mut slow = Frames::connect(daemon.listen);
     slow.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2900, b"x")));
-    let mut heard = worker.next();
+    let mut received = worker.next();
     let mut quick = Frames::connect(daemon.listen);
     quick.send(&frame(0, 1, &call("practice-check", "00000000000000bb", 2900, b"x")));
     let mut other = worker.next();
     let content = base64::Engine::encode(&base64::engine::general_purpose::STANDARD, &body);
-    let line = json!({"verb": "200", "rid": heard.name(), "content": content}).to_string();
+    let line = json!({"verb": "200", "rid": received.name(), "content": content}).to_string();
     let (first, rest) = line.as_bytes().split_at(line.len() - 10);
     for piece in first.chunks(30_000) {
-        heard.raw(piece);
+        received.raw(piece);
     }
     other.answer("200", "eA==");
     assert_eq!(quick.next(), Some((1, 1, vec![79, 0, b'x'])), "other requests are not delayed by it");
-    heard.raw(rest);
-    heard.raw(b"\n");
+    received.raw(rest);
+    received.raw(b"\n");
     daemon.wait_counter("served", 2);
     daemon.signal("TERM");
     daemon.wait_log("ending");
@@ -368,9 +368,9 @@
     let daemon = Daemon::limited(&[&worker], json!({"sockets": 96}));
     worker.serve(echo);
     let mut slow = Frames::connect(daemon.listen);
-    let whole = frame(0, 1, &call("practice-check", "00000000000000aa", 2500, b"x"));
+    let encoded = frame(0, 1, &call("practice-check", "00000000000000aa", 2500, b"x"));
     let mut crowd = Vec::new();
-    for piece in whole.chunks(whole.len() / 4 + 1) {
+    for piece in encoded.chunks(encoded.len() / 4 + 1) {
         slow.send(piece);
         crowd.extend((0..40).map(|_| TcpStream::connect(daemon.listen).unwrap()));
         daemon.wait_counter("accepted", 1 + crowd.len() as u64);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -55,8 +55,8 @@
                     )
             });
             let probes = probes.clone();
-            worker.serve(move |heard| {
-                let is_probe = heard.word() == "stat";
+            worker.serve(move |received| {
+                let is_probe = received.word() == "stat";
                 probes.lock().unwrap().extend(is_probe.then_some(n));
                 is_probe.then(|| ("alive", String::new()))
             });
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -76,27 +76,27 @@
 /// A daemon that knows one long-running worker, its discovery connection, and a second worker to be reported.
 struct Site {
     daemon: Daemon,
-    bus: TcpStream,
-    new: SocketAddr,
-    at_new: Lines,
+    discovery: TcpStream,
+    reported: SocketAddr,
+    reported_lines: Lines,
 }
 
 impl Site {
     fn start(settings: Value, wall_clock_ms: i64) -> Site {
-        let (old, new, bus) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new());
+        let (known, reported, bus) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new());
         let address = bus.0.local_addr().unwrap();
-        let daemon = Daemon::faulty(&[&old], settings, Some(address), |_| String::new(), wall_clock_ms);
-        let (bus, _) = bus.accept();
-        let at = new.address();
-        old.serve(echo);
-        Site { daemon, bus, new: at, at_new: new.serve(echo) }
+        let daemon = Daemon::faulty(&[&known], settings, Some(address), |_| String::new(), wall_clock_ms);
+        let (discovery, _) = bus.accept();
+        let at = reported.address();
+        known.serve(echo);
+        Site { daemon, discovery, reported: at, reported_lines: reported.serve(echo) }
     }
 
     /// Discovery reports the second worker as started at this Unix time.
     fn report_start(&mut self, started_ms: u64) {
         use std::io::Write;
         let before = self.daemon.counter("list_events");
-        self.bus.write_all(&change(2, 9, self.new, 0, started_ms)).unwrap();
+        self.discovery.write_all(&change(2, 9, self.reported, 0, started_ms)).unwrap();
         self.daemon.wait_counter("list_events", before + 1);
     }
 }
@@ -125,7 +125,7 @@
     site.report_start(unix_ms(outside));
     thread::sleep(after);
     call_all(&site.daemon, 1);
-    calls_at(&site.at_new)
+    calls_at(&site.reported_lines)
 }
 
 /// Runs all cases in parallel.
@@ -172,10 +172,10 @@
     thread::sleep(Duration::from_millis(1_200));
     site.daemon.faults().step_wall_clock(-HOUR_MS).unwrap();
     let before = site.daemon.counter("list_events");
-    site.bus.write_all(&change(3, 9, site.new, 0, started)).unwrap();
+    site.discovery.write_all(&change(3, 9, site.reported, 0, started)).unwrap();
     site.daemon.wait_counter("list_events", before + 1);
     call_all(&site.daemon, 1);
-    let sent = calls_at(&site.at_new);
+    let sent = calls_at(&site.reported_lines);
     assert!(
         sent >= CALLS_PER_SERIES as usize / 5,
         "{sent} of {CALLS_PER_SERIES} calls at a worker that is warm"
