--- a/src/policy/rendezvous/tests.rs
+++ b/src/policy/rendezvous/tests.rs
@@ -87,8 +87,8 @@
                     list.insert(id, size);
                     rendezvous.set(WorkerId(id), size);
                 }
-                Step::Remove(place) => {
-                    let id = list.keys().nth(place % list.len().max(1)).copied().unwrap_or(7);
+                Step::Remove(index) => {
+                    let id = list.keys().nth(index % list.len().max(1)).copied().unwrap_or(7);
                     list.remove(&id);
                     rendezvous.remove(WorkerId(id));
                 }
@@ -119,10 +119,10 @@
     ) {
         let mut rendezvous = Rendezvous::default();
         list.iter().for_each(|(id, size)| rendezvous.set(WorkerId(*id), *size));
-        let passes = |worker: &WorkerId| mix(worker.0 ^ 99).is_multiple_of(part);
-        let mut expected: Vec<_> = full_sort(key, &list).into_iter().filter(passes).collect();
+        let is_kept = |worker: &WorkerId| mix(worker.0 ^ 99).is_multiple_of(part);
+        let mut expected: Vec<_> = full_sort(key, &list).into_iter().filter(is_kept).collect();
         expected.truncate(count);
-        let some = list.keys().map(|id| WorkerId(*id)).filter(passes);
+        let some = list.keys().map(|id| WorkerId(*id)).filter(is_kept);
         prop_assert_eq!(rendezvous.first(key, some, count), expected);
     }
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -596,14 +596,14 @@
 }
 
 /// Requests cancelled at their deadlines were not counted in their workers' slowness, nor were those still in flight:
-/// each of many schedulers kept sending its share of the functions to an overloaded worker (disco+vast).
+/// each of many schedulers kept sending an overloaded worker its requests of that worker's functions (disco+vast).
 #[test]
 fn worker_is_skipped_because_of_a_request_long_in_flight() {
-    for (wait, over) in [(Duration::millis(1200), false), (Duration::millis(2500), true)] {
+    for (wait, expired) in [(Duration::millis(1200), false), (Duration::millis(2500), true)] {
         let mut rig = Rig::new(Settings { fleet_size: 10, ..settings(OnMiss::Load) }, 20);
         let preferred = send_targets(&rig.handle(Event::Request(request(1, 7, 0))))[0];
-        assert_eq!(final_answers(&rig.advance(wait)).len(), usize::from(over));
-        if over {
+        assert_eq!(final_answers(&rig.advance(wait)).len(), usize::from(expired));
+        if expired {
             rig.end_attempt(REQUEST_ID(1), 0, Status::Cancelled);
         }
         let next = send_targets(&rig.handle(Event::Request(request(2, 7, 0))))[0];
@@ -694,8 +694,8 @@
     let preferred = rig.sent[0].2;
     rig.advance(Duration::millis(500));
     let now = rig.now;
-    let out = rig.handle(Event::PeerHealth(preferred, false, now));
-    assert!(!out.iter().any(|action| matches!(action, Action::Cancel { .. })), "{out:?}");
+    let actions = rig.handle(Event::PeerHealth(preferred, false, now));
+    assert!(!actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{actions:?}");
     rig.end_last_attempt(Status::Ok);
     rig.advance(Duration::millis(500));
     let reported_at = rig.now - Duration::millis(100);
@@ -828,8 +828,9 @@
             if gone {
                 rig.handle(Event::ClientGone(REQUEST_ID(99)));
             }
-            let out: Vec<_> = rig.sent.iter().filter(|(id, ..)| *id != REQUEST_ID(99)).copied().collect();
-            out.into_iter()
+            let others: Vec<_> = rig.sent.iter().filter(|(id, ..)| *id != REQUEST_ID(99)).copied().collect();
+            others
+                .into_iter()
                 .skip(1)
                 .for_each(|(id, attempt, _)| drop(rig.end_attempt(id, attempt, Status::Ok)));
             rig.handle(Event::Members(ListKind::Delta, vec![member(1)]));
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -235,9 +235,9 @@
         self.handle(index, Event::Members(ListKind::Full, list));
     }
 
-    fn schedule(&mut self, at: Timestamp, what: SimEvent) {
+    fn schedule(&mut self, at: Timestamp, event: SimEvent) {
         self.event_count += 1;
-        self.event_queue.push(Reverse((at, self.event_count, what)));
+        self.event_queue.push(Reverse((at, self.event_count, event)));
     }
 
     fn random_unit(&mut self) -> f64 {
@@ -266,18 +266,18 @@
                 }
                 Action::Load { worker, function, .. } => {
                     self.record_arrival(index, worker.0);
-                    let after = self.now + Duration::millis(600);
-                    self.schedule(after, SimEvent::LoadEnds(worker.0, index, function));
+                    let at = self.now + Duration::millis(600);
+                    self.schedule(at, SimEvent::LoadEnds(worker.0, index, function));
                 }
                 Action::Probe { worker, .. } => {
-                    let after = self.now + Duration::millis(2);
-                    self.schedule(after, SimEvent::CheckAnswered(worker.0, index));
+                    let at = self.now + Duration::millis(2);
+                    self.schedule(at, SimEvent::CheckAnswered(worker.0, index));
                 }
                 Action::Refuse { .. } | Action::Fail { .. } => {
                     // Half of the clients retry.
                     if self.random_unit() < 0.5 {
-                        let after = self.now + Duration::millis(150);
-                        self.schedule(after, SimEvent::RequestArrives(0));
+                        let at = self.now + Duration::millis(150);
+                        self.schedule(at, SimEvent::RequestArrives(0));
                     }
                 }
                 Action::SetTimer { after } => {
@@ -294,9 +294,9 @@
 
     /// Records the arrival of work at a worker, if the scheduler that sent it knew of the worker's current start.
     fn record_arrival(&mut self, index: usize, worker: u64) {
-        let (now, known_starts) = (self.now, self.schedulers[index].known_starts.get(&worker).copied());
+        let (now, known_start) = (self.now, self.schedulers[index].known_starts.get(&worker).copied());
         let state = self.workers.get_mut(&worker).unwrap();
-        if let Some(started) = state.started.filter(|started| known_starts == Some(*started)) {
+        if let Some(started) = state.started.filter(|started| known_start == Some(*started)) {
             state.arrivals.push(now);
             let window = Duration::millis(2_000);
             let from = now - window;
@@ -362,21 +362,21 @@
 
     fn add_request(&mut self) {
         let total: f64 = self.weights.iter().sum();
-        let mut at = self.random_unit() * total;
+        let mut draw = self.random_unit() * total;
         let index = self.weights.iter().position(|weight| {
-            at -= weight;
-            at < 0.0
+            draw -= weight;
+            draw < 0.0
         });
         // Popularity falls with the rank (a power law).
         let rank = (self.random_unit().powf(-1.0 / 0.35) as usize).min(FUNCTION_COUNT) as u64;
-        let hot = if self.in_surge() {
+        let hot_share = if self.in_surge() {
             0.33
         } else if self.scenario.hot_function {
             0.2
         } else {
             0.0
         };
-        let function = if self.random_unit() < hot { 77 } else { rank };
+        let function = if self.random_unit() < hot_share { 77 } else { rank };
         let class = ClassId(u16::from(self.random_unit() < 0.3));
         self.next_request += 1;
         let request = Request {
@@ -393,12 +393,12 @@
     }
 
     fn run_to_end(mut self) -> Simulation {
-        while let Some(Reverse((at, _, what))) = self.event_queue.pop() {
+        while let Some(Reverse((at, _, event))) = self.event_queue.pop() {
             if at > END_AT {
                 break;
             }
             self.now = at;
-            match what {
+            match event {
                 SimEvent::RequestArrives(schedules_next) => {
                     if schedules_next == 1 {
                         let traffic_factor = match () {
