--- a/src/chain/tests.rs
+++ b/src/chain/tests.rs
@@ -184,7 +184,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// Chains, ends of steps, clients that leave and time in any order: one end each, no step before the one
     /// before it was served, none that the time does not cover, no credit step beyond what its key allows.
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -174,7 +174,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// For any lists, cordons, settings and outcomes in any order: each request gets one final answer, nothing is sent
     /// to a worker that is not listed as ready or is cordoned, and no state is left over.
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -12,7 +12,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// Lists of any length, damaged anywhere: read whole, waited for, or told; never more than was there.
     #[test]
--- a/src/fleet/distribution/tests/log.rs
+++ b/src/fleet/distribution/tests/log.rs
@@ -59,7 +59,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// A version plus the parts after it gives the records and the digest of a plain map.
     #[test]
--- a/src/fleet/distribution/tests/staging.rs
+++ b/src/fleet/distribution/tests/staging.rs
@@ -156,7 +156,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// The pages of a snapshot and then of changes, reordered within a window of pages, and some of them repeated.
     #[test]
--- a/src/fleet/distribution/tests/wire.rs
+++ b/src/fleet/distribution/tests/wire.rs
@@ -134,7 +134,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// No message from any sender at any time causes a panic, and a stranger changes nothing.
     #[test]
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -277,7 +277,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// Whatever datagrams arrive, in any order: no panic, and no lease that this process has not won.
     #[test]
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -175,7 +175,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// For any inputs in any order, a process starts serving at most once, never after it has failed, and accepts
     /// clients unless a newer process is connected.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -97,7 +97,7 @@
 /// Property tests draw the same cases each time: a verdict must not change from run to run. Other cases are drawn
 /// with `PROPTEST_RNG_SEED`, more with `PROPTEST_CASES`.
 #[cfg(test)]
-pub(crate) fn drawn() -> proptest::test_runner::Config {
+pub(crate) fn proptest_config() -> proptest::test_runner::Config {
     use proptest::test_runner::{Config, RngSeed};
     let config = Config { failure_persistence: None, ..Config::default() };
     match config.rng_seed {
--- a/src/ops/http/tests.rs
+++ b/src/ops/http/tests.rs
@@ -62,7 +62,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// Whatever comes, only a whole call of the two names a worker.
     #[test]
--- a/src/policy/rendezvous/tests.rs
+++ b/src/policy/rendezvous/tests.rs
@@ -73,7 +73,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// Whatever happens to the list between two requests, a cached order is a prefix of the full sort, and at
     /// least as long as was asked for.
--- a/src/start_times/tests.rs
+++ b/src/start_times/tests.rs
@@ -47,7 +47,7 @@
 }
 
 proptest! {
-    #![proptest_config(crate::drawn())]
+    #![proptest_config(crate::proptest_config())]
 
     /// Starts are told late, and all clocks of the site or this machine's alone are stepped between them, before and after
     /// the process began: no worker is ever taken for older than it is. Where no clock was off, it is taken for younger by
--- a/tests/chain.rs
+++ b/tests/chain.rs
@@ -20,7 +20,7 @@
         class["deadlineNs"] = json!(30_000_000_000u64);
         class["repeatWindowNs"] = json!(60_000_000_000u64);
     }
-    let daemon = Daemon::with(&[worker], settings, None, |folder| {
+    let daemon = Daemon::start_with(&[worker], settings, None, |folder| {
         format!("[jsonrpc]\nsocket = \"{}\"\n", folder.at("calls.sock").display())
     });
     let client = Rpc::connect(&daemon.folder.at("calls.sock"));
@@ -195,7 +195,7 @@
         class["objectiveNs"] = json!(20_000_000_000u64);
         class["deadlineNs"] = json!(30_000_000_000u64);
     }
-    let daemon = Daemon::with(&workers.each_ref(), settings, None, |folder| {
+    let daemon = Daemon::start_with(&workers.each_ref(), settings, None, |folder| {
         format!("[jsonrpc]\nsocket = \"{}\"\n", folder.at("calls.sock").display())
     });
     let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -55,7 +55,7 @@
     let (first, second) = (Worker::over_tcp(), Worker::over_tcp());
     let bus = Bus::new();
     let at = bus.0.local_addr().unwrap();
-    let daemon = Daemon::with(&[&first, &second], settings(), Some(at), |_| String::new());
+    let daemon = Daemon::start_with(&[&first, &second], settings(), Some(at), |_| String::new());
     let mut client = Frames::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2500, b"x")));
     let (mut open, home, other) = loop {
@@ -113,7 +113,7 @@
 #[test]
 fn the_second_address_answers_while_clients_hold_all_descriptors() {
     let worker = Worker::over_tcp();
-    let daemon = Daemon::limited(&[&worker], json!({"sockets": 96}));
+    let daemon = Daemon::with_limits(&[&worker], json!({"sockets": 96}));
     worker.serve(echo);
     let crowd: Vec<TcpStream> = (0..200).filter_map(|_| TcpStream::connect(daemon.listen).ok()).collect();
     let stuck: Vec<TcpStream> = (0..30)
@@ -149,7 +149,7 @@
 /// Starts a daemon on a listener that the platform holds.
 fn start_on_listener(workers: &[&Worker], listener: &TcpListener) -> Daemon {
     let first = Daemon::start(workers);
-    let mut daemon = first.beside(listener);
+    let mut daemon = first.spawn_beside(listener);
     daemon.serves();
     daemon
 }
@@ -173,7 +173,7 @@
     let encoded = frame(0, 2, &call("practice-check", "00000000000000bb", 2500, b"x"));
     client.send(&encoded[..20]);
     assert_eq!(exclude(&old, 1), 200);
-    let mut new = old.beside(&listener);
+    let mut new = old.spawn_beside(&listener);
     new.serves();
     old.wait_log("listener=closed");
     assert_eq!(new.figure("cluster_unhealthy"), Some(1), "a cordoned worker stays cordoned");
@@ -201,7 +201,7 @@
     );
     assert!(old.ends());
     // The next upgrade connects to the process that serves now.
-    let mut next = new.beside(&listener);
+    let mut next = new.spawn_beside(&listener);
     next.serves();
     assert_eq!(next.figure("cluster_unhealthy"), Some(1));
     new.signal("TERM");
@@ -220,7 +220,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut old = start_on_listener(&[&worker], &listener);
     worker.serve(echo);
-    let mut new = old.beside(&listener);
+    let mut new = old.spawn_beside(&listener);
     new.serves();
     old.wait_log("listener=closed");
     new.signal("KILL");
@@ -229,7 +229,7 @@
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
     old.signal("KILL");
     assert!(!old.ends() && !new.ends());
-    let mut again = old.beside(&listener);
+    let mut again = old.spawn_beside(&listener);
     again.serves();
     let mut client = Frames::connect(again.listen);
     assert_eq!(serve_one(&mut client, 2), Some((1, 2, vec![79, 0, b'x'])));
@@ -247,7 +247,7 @@
         let path = first.folder.at("mintgate-n0.sock");
         let _ = std::fs::remove_file(&path);
         let peer = UnixListener::bind(&path).unwrap();
-        let mut new = first.beside(&listener);
+        let mut new = first.spawn_beside(&listener);
         let (mut stream, _) = peer.accept().unwrap();
         stream.write_all(answer).unwrap();
         assert!(!new.ends());
@@ -255,7 +255,7 @@
     }
     // Nor does it start if the passed descriptor is not a listener.
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let mut new = first.beside(&TcpListener::from(std::os::fd::OwnedFd::from(stream)));
+    let mut new = first.spawn_beside(&TcpListener::from(std::os::fd::OwnedFd::from(stream)));
     assert!(!new.ends());
     new.wait_log("GW_PASSED_SOCKET names descriptor 0: not a listening TCP socket");
 }
@@ -301,7 +301,7 @@
     let mut broken = old.config.clone();
     broken["settings"]["bounds"]["mostTries"] = json!(0);
     assert_eq!(old.reload(&broken.to_string()), "refused");
-    let mut new = old.beside(&listener);
+    let mut new = old.spawn_beside(&listener);
     new.serves();
     new.wait_log("upgrade configuration of the old process");
     old.signal("TERM");
@@ -309,12 +309,12 @@
     let mut client = Frames::connect(new.listen);
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
     std::fs::write(new.folder.at("config.json"), "{").unwrap();
-    let mut next = new.beside(&listener);
+    let mut next = new.spawn_beside(&listener);
     next.serves();
     drop(new);
     next.signal("KILL");
     assert!(!next.ends());
-    assert!(!old.beside(&listener).ends(), "no process serves, so the invalid file is used");
+    assert!(!old.spawn_beside(&listener).ends(), "no process serves, so the invalid file is used");
 }
 
 /// The old process's configuration replaces an invalid one, but not an operator's file that the settings forbid: such a
@@ -325,7 +325,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let old = start_on_listener(&[&worker], &listener);
     std::fs::write(old.folder.at("operator.toml"), include_str!("../deploy/fleet.toml")).unwrap();
-    let mut new = old.beside(&listener);
+    let mut new = old.spawn_beside(&listener);
     assert!(!new.ends());
     new.wait_log("bounds.peers of the settings is false");
 }
@@ -335,7 +335,7 @@
 fn an_upgrade_moves_the_second_front_and_the_virtual_router() {
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let first = Daemon::with(&[&worker], settings(), None, |folder| {
+    let first = Daemon::start_with(&[&worker], settings(), None, |folder| {
         format!(
             "[jsonrpc]\nsocket = \"{}\"\n[vrrp]\nvrid = 7\npriority = 255\ninterval_cs = 10\n\
             bind = \"127.0.0.1:0\"\npeers = []\naddress = \"127.0.0.100\"\n",
@@ -344,11 +344,11 @@
     });
     worker.serve(echo);
     drop(std::fs::remove_file(first.folder.at("calls.sock")));
-    let mut old = first.beside(&listener);
+    let mut old = first.spawn_beside(&listener);
     old.serves();
     old.wait_log("state=Active");
     let mut before = Rpc::connect(&old.folder.at("calls.sock"));
-    let mut new = old.beside(&listener);
+    let mut new = old.spawn_beside(&listener);
     new.serves();
     new.wait_log("state=Active");
     let mut after = Rpc::connect(&old.folder.at("calls.sock"));
@@ -365,7 +365,7 @@
 #[test]
 fn a_slow_request_is_not_evicted_by_idle_connections() {
     let worker = Worker::over_tcp();
-    let daemon = Daemon::limited(&[&worker], json!({"sockets": 96}));
+    let daemon = Daemon::with_limits(&[&worker], json!({"sockets": 96}));
     worker.serve(echo);
     let mut slow = Frames::connect(daemon.listen);
     let encoded = frame(0, 1, &call("practice-check", "00000000000000aa", 2500, b"x"));
--- a/tests/discovery_outage.rs
+++ b/tests/discovery_outage.rs
@@ -192,7 +192,7 @@
         .iter()
         .enumerate()
         .map(|(n, discovery)| {
-            Daemon::with(&listed, site_settings(n, checks), Some(discovery.address), |_| String::new())
+            Daemon::start_with(&listed, site_settings(n, checks), Some(discovery.address), |_| String::new())
         })
         .collect();
     let workers: Vec<DrainingWorker> = workers.into_iter().map(DrainingWorker::serve).collect();
@@ -269,8 +269,9 @@
     // The listener is dropped at once, so connections are refused.
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let listed: Vec<&Worker> = workers.iter().collect();
-    let daemon =
-        Daemon::with(&listed, site_settings(0, HealthChecks::Allowed), Some(nowhere), |_| String::new());
+    let daemon = Daemon::start_with(&listed, site_settings(0, HealthChecks::Allowed), Some(nowhere), |_| {
+        String::new()
+    });
     let workers: Vec<DrainingWorker> = workers.into_iter().map(DrainingWorker::serve).collect();
     workers[0].drain();
     let until = Instant::now() + Duration::from_secs(2);
--- a/tests/distribution_processes.rs
+++ b/tests/distribution_processes.rs
@@ -110,7 +110,7 @@
         let replica = |n: usize| {
             let mut settings = peer_settings(n);
             adjust(n, &mut settings);
-            Daemon::with(workers, settings, bus, |_| {
+            Daemon::start_with(workers, settings, bus, |_| {
                 format!(
                     "[fleet]\nname = \"test\"\nbind = \"{}\"\nelectors = [{}]\nterm_ms = 800\ndelay_ms = 20\n\
                      parts = 0\n[distribution]\nname = \"test\"\nbind = \"{}\"\nrole = \"replica\"\nreplicas = {}\n",
@@ -123,7 +123,7 @@
         };
         let replicas: Vec<Daemon> = (0..3).map(replica).collect();
         let relay = |(n, at): (usize, &SocketAddr)| {
-            Daemon::with(&[], peer_settings(3 + n), None, |_| {
+            Daemon::start_with(&[], peer_settings(3 + n), None, |_| {
                 child_operator_file("relay", *at, &replica_addresses)
             })
         };
@@ -133,7 +133,7 @@
             let index = 3 + relays.len() + n;
             let mut settings = peer_settings(index);
             adjust(index, &mut settings);
-            Daemon::with(&[], settings, None, |_| child_operator_file("subscriber", *at, parents))
+            Daemon::start_with(&[], settings, None, |_| child_operator_file("subscriber", *at, parents))
         };
         let subscribers = subscriber_addresses.iter().enumerate().map(subscriber).collect();
         Domain { replicas, relays, subscribers, replica_addresses, relay_addresses }
@@ -489,7 +489,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = free_addresses(9, 31, 1)[0];
     // A process can be replaced only if it was started with a passed listener.
-    let plain = Daemon::with(&[], peer_settings(9), None, |_| {
+    let plain = Daemon::start_with(&[], peer_settings(9), None, |_| {
         child_operator_file("subscriber", at, &domain.replica_addresses)
     });
     let (folder, config) = (plain.folder.clone(), plain.config.clone());
@@ -497,7 +497,7 @@
     let mut old = Daemon::spawn(folder, config, Some(&listener));
     old.serves();
     wait_figure(&old, "cluster_size", 1);
-    let mut new = old.beside(&listener);
+    let mut new = old.spawn_beside(&listener);
     new.serves();
     old.wait_log("listener=closed");
     assert_eq!(call_status(&new, "practice-check", 1), 79);
@@ -523,7 +523,7 @@
             settings["zones"] = json!(["a", "b"]);
             let operator = child_operator_file("subscriber", at, &domain.replica_addresses)
                 + &format!("zones = [\"{zone}\"]\n");
-            (zone, Daemon::with(&[], settings, None, |_| operator.clone()))
+            (zone, Daemon::start_with(&[], settings, None, |_| operator.clone()))
         })
         .into();
     wait_for("the first version", || {
--- a/tests/faults/accept.rs
+++ b/tests/faults/accept.rs
@@ -19,7 +19,7 @@
     let worker = Worker::over_tcp();
     let operator =
         |folder: &Folder| format!("[jsonrpc]\nsocket = \"{}\"\n", folder.at("calls.sock").display());
-    let daemon = Daemon::faulty(&[&worker], settings(), None, operator, 0);
+    let daemon = Daemon::with_faults(&[&worker], settings(), None, operator, 0);
     for errno in TRANSIENT_ERRNOS {
         daemon.faults().fail(Call::Accept, errno, 1).unwrap();
         let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
@@ -62,7 +62,7 @@
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let first = faulty_daemon(&[&worker], settings());
-    let mut old = first.beside(&listener);
+    let mut old = first.spawn_beside(&listener);
     old.serves();
     for errno in TRANSIENT_ERRNOS {
         old.faults().fail(Call::Accept, errno, 1).unwrap();
--- a/tests/faults/connections.rs
+++ b/tests/faults/connections.rs
@@ -140,7 +140,7 @@
     let (bus, slow) = (Bus::new(), SlowReader::start());
     let mut settings = settings();
     settings["fleetSize"] = json!(100);
-    let daemon = Daemon::faulty(&[], settings, Some(bus.0.local_addr().unwrap()), |_| String::new(), 0);
+    let daemon = Daemon::with_faults(&[], settings, Some(bus.0.local_addr().unwrap()), |_| String::new(), 0);
     daemon.faults().fail(Call::Socket, SHORT, ALWAYS).unwrap();
     let (mut bus, _) = bus.accept();
     bus.write_all(&change(2, 9, slow.at, 0, 0)).unwrap();
--- a/tests/faults/datagrams.rs
+++ b/tests/faults/datagrams.rs
@@ -20,7 +20,7 @@
             peer.local_addr().unwrap()
         )
     };
-    let daemon = Daemon::faulty(&[&worker], settings(), None, operator, 0);
+    let daemon = Daemon::with_faults(&[&worker], settings(), None, operator, 0);
     let (_, at) = peer.recv_from(&mut [0; 64]).unwrap();
     for (round, errno) in [ENOBUFS, EHOSTUNREACH, EIO, EINTR].into_iter().enumerate() {
         daemon.wait_log_times("state=Active", round + 1);
--- a/tests/faults/files.rs
+++ b/tests/faults/files.rs
@@ -15,7 +15,7 @@
         let worker = Worker::over_tcp();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let first = faulty_daemon(&[&worker], settings());
-        let mut old = first.beside(&listener);
+        let mut old = first.spawn_beside(&listener);
         old.serves();
         let mut retuned = old.config.clone();
         retuned["settings"]["classes"][0]["worth"] = json!(7.0);
--- a/tests/faults/main.rs
+++ b/tests/faults/main.rs
@@ -38,7 +38,7 @@
     [ECONNABORTED, ENFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, EPROTO, ENETDOWN, EINTR];
 
 pub(crate) fn faulty_daemon(workers: &[&Worker], settings: Value) -> Daemon {
-    Daemon::faulty(workers, settings, None, |_| String::new(), 0)
+    Daemon::with_faults(workers, settings, None, |_| String::new(), 0)
 }
 
 pub(crate) fn plain_call(stream: u32) -> Vec<u8> {
--- a/tests/faults/start.rs
+++ b/tests/faults/start.rs
@@ -56,7 +56,7 @@
             folder.at("calls.sock")
         )
     };
-    let first = Daemon::with(&[&worker], settings(), None, operator);
+    let first = Daemon::start_with(&[&worker], settings(), None, operator);
     let (folder, config) = (first.folder.clone(), first.config.clone());
     drop(first);
     let mut old = Daemon::spawn(folder.clone(), config.clone(), Some(&listener));
@@ -73,7 +73,7 @@
     let mut client = Rpc::connect(&folder.at("calls.sock"));
     client.send(r#"{"jsonrpc":"2.0","id":1,"method":"ready"}"#);
     assert_eq!(client.next()["result"]["ready"], json!(true));
-    let mut next = new.beside(&listener);
+    let mut next = new.spawn_beside(&listener);
     next.serves();
     new.wait_log("listener=closed");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -45,7 +45,7 @@
             settings["fleetSize"] = json!(count);
             settings["index"] = json!(n);
             settings["bounds"]["peers"] = json!(true);
-            let daemon = Daemon::with(&[&worker], settings, None, |folder| {
+            let daemon = Daemon::start_with(&[&worker], settings, None, |folder| {
                 extra_sections(n, folder)
                     + &format!(
                         "[fleet]\nname = \"test\"\nbind = \"{}\"\nelectors = [{}]\nterm_ms = {term_ms}\n\
@@ -196,7 +196,7 @@
         settings["fleetSize"] = json!(4);
         settings["index"] = json!(3);
         settings["bounds"]["peers"] = json!(true);
-        Daemon::with(&[&worker], settings, None, |_| {
+        Daemon::start_with(&[&worker], settings, None, |_| {
             format!(
                 "[fleet]\nname = \"test\"\nbind = \"{bind}\"\n{electors}\nvotes = false\nterm_ms = 800\n\
                  delay_ms = 20\nparts = 1\n"
--- a/tests/instants.rs
+++ b/tests/instants.rs
@@ -119,7 +119,7 @@
 fn an_event_that_discovery_skips_is_requested() {
     let (first, second, bus) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new());
     let daemon =
-        Daemon::with(&[&first], rig::settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
+        Daemon::start_with(&[&first], rig::settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
     let (mut feed, offset) = bus.accept();
     assert_eq!(offset, 1);
     feed.write_all(&[event(2, 2, &second, 0), event(4, 1, &first, 1)].concat()).unwrap();
@@ -176,7 +176,7 @@
     let worker = Worker::over_tcp();
     let template = Daemon::start(&[&worker]);
     worker.serve(echo);
-    let mut daemon = template.scarce(40);
+    let mut daemon = template.spawn_with_descriptor_limit(40);
     daemon.serves();
     let mut clients: Vec<Frames> = (0..60).map(|_| Frames::connect(daemon.listen)).collect();
     daemon.wait_log("accept failed");
@@ -225,7 +225,7 @@
 fn a_request_read_together_with_its_clients_close_is_not_sent() {
     let worker = Worker::over_tcp();
     let operator = |folder: &Folder| format!("[jsonrpc]\nsocket = {:?}\n", folder.at("rpc.sock"));
-    let daemon = Daemon::with(&[&worker], rig::settings(), None, operator);
+    let daemon = Daemon::start_with(&[&worker], rig::settings(), None, operator);
     let mut client = Frames::connect(daemon.listen);
     suspend(&daemon);
     client.send(&request_frame(1));
@@ -246,7 +246,7 @@
     let worker = Worker::over_tcp();
     let mut settings = rig::settings();
     settings["classes"][1]["repeatWindowNs"] = json!(1);
-    let daemon = Daemon::with(&[&worker], settings, None, |_| String::new());
+    let daemon = Daemon::start_with(&[&worker], settings, None, |_| String::new());
     let mut client = Frames::connect(daemon.listen);
     let keyed =
         |stream: u32| frame(0, stream, &call("credit-submit", &format!("{stream:016x}"), 60_000, b"x"));
@@ -276,7 +276,7 @@
 fn a_new_worker_at_an_old_address_gets_new_connections() {
     let (worker, bus) = (Worker::over_tcp(), Bus::new());
     let daemon =
-        Daemon::with(&[&worker], rig::settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
+        Daemon::start_with(&[&worker], rig::settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
     let (mut feed, _) = bus.accept();
     let mut client = Frames::connect(daemon.listen);
     client.send(&request_frame(1));
@@ -338,7 +338,7 @@
     };
     let mut client = Frames::connect(listener.local_addr().unwrap());
     assert_eq!(send_and_wait(&mut client, 1), 79);
-    let mut new = old.beside(&listener);
+    let mut new = old.spawn_beside(&listener);
     new.serves();
     old.wait_log("upgrade listener=closed");
     let old_verdicts = [2, 3].map(|stream| send_and_wait(&mut client, stream));
@@ -424,7 +424,7 @@
 fn discovery_is_requested_from_the_last_complete_event() {
     let (first, second, bus) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new());
     let daemon =
-        Daemon::with(&[&first], rig::settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
+        Daemon::start_with(&[&first], rig::settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
     let (mut feed, _) = bus.accept();
     let half = event(3, 1, &first, 1);
     feed.write_all(&[&event(2, 2, &second, 0)[..], &half[..half.len() - 1]].concat()).unwrap();
@@ -481,7 +481,7 @@
     let worker = Worker::over_tcp();
     let mut settings = rig::settings();
     settings["classes"][1]["repeatWindowNs"] = json!(1);
-    let mut daemon = Daemon::with(&[&worker], settings, None, |_| String::new());
+    let mut daemon = Daemon::start_with(&[&worker], settings, None, |_| String::new());
     let mut client = Frames::connect(daemon.listen);
     client.send(&frame(0, 1, &call("credit-submit", "00000000000000aa", 60_000, b"x")));
     let received = worker.next();
@@ -583,7 +583,7 @@
     let worker = Worker::over_tcp();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let first = Daemon::start(&[&worker]);
-    let mut old = first.beside(&listener);
+    let mut old = first.spawn_beside(&listener);
     old.serves();
     old.signal("KILL");
     assert!(!old.ends());
@@ -591,7 +591,7 @@
     waits.send(&frame(0, 1, &call("practice-check", "00000000000000bb", 3_000, b"x")));
     let mut idle = Frames::connect(listener.local_addr().unwrap());
     std::thread::sleep(std::time::Duration::from_millis(500));
-    let mut new = first.beside(&listener);
+    let mut new = first.spawn_beside(&listener);
     new.serves();
     assert_eq!(waits.next().map(|(kind, stream, payload)| (kind, stream, payload[0])), Some((1, 1, 66)));
     // A client that had only connected is served like any other.
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -23,7 +23,7 @@
 }
 
 fn start(workers: &[&Worker]) -> Daemon {
-    Daemon::with(workers, settings(), None, operator)
+    Daemon::start_with(workers, settings(), None, operator)
 }
 
 fn connect(daemon: &Daemon) -> Rpc {
@@ -100,8 +100,9 @@
 #[test]
 fn a_client_with_an_incomplete_line_is_closed_and_an_idle_one_makes_room() {
     let worker = Worker::over_tcp();
-    let daemon =
-        Daemon::with(&[&worker], settings(), None, |folder| format!("{}max_clients = 2\n", operator(folder)));
+    let daemon = Daemon::start_with(&[&worker], settings(), None, |folder| {
+        format!("{}max_clients = 2\n", operator(folder))
+    });
     let mut half = connect(&daemon);
     half.0.get_mut().write_all(b"{\"jsonrpc\":").unwrap();
     assert_eq!(half.next()["error"]["code"], -32700);
@@ -185,7 +186,7 @@
 fn a_reference_in_use_and_an_invalid_answer_affect_no_other_call() {
     let folder = Folder::new();
     let (checker, path) = (Worker::over_unix(&folder.at("checker.sock")), folder.at("checker.sock"));
-    let daemon = Daemon::with(&[], settings(), None, |folder| {
+    let daemon = Daemon::start_with(&[], settings(), None, |folder| {
         format!("{}[[checkers]]\nid = \"s-0000c001\"\nsocket = {path:?}\n", operator(folder))
     });
     let (mut client, mut other) = (connect(&daemon), connect(&daemon));
@@ -205,7 +206,7 @@
     let folder = Folder::new();
     let checker = Worker::over_unix(&folder.at("checker.sock"));
     let path: PathBuf = folder.at("checker.sock");
-    let daemon = Daemon::with(&[], settings(), None, |folder| {
+    let daemon = Daemon::start_with(&[], settings(), None, |folder| {
         format!("{}[[checkers]]\nid = \"s-0000c001\"\nsocket = {path:?}\n", operator(folder))
     });
     let mut client = connect(&daemon);
@@ -236,7 +237,7 @@
     settings["bounds"]["probes"] = json!(true);
     // Functions are only loaded on request here; with other settings, a call loads what is missing.
     settings["familyInfo"]["notLoaded"] = json!("miss");
-    let daemon = Daemon::with(&[], settings, None, |folder| {
+    let daemon = Daemon::start_with(&[], settings, None, |folder| {
         let checker = |n: usize| format!("[[checkers]]\nid = \"s-0000c00{n}\"\nsocket = {:?}\n", paths[n]);
         format!("{}{}{}", operator(folder), checker(0), checker(1))
     });
@@ -278,7 +279,7 @@
     let worker = Worker::over_tcp();
     let mut settings = settings();
     settings["classes"][1]["repeatWindowNs"] = json!(1);
-    let daemon = Daemon::with(&[&worker], settings, None, operator);
+    let daemon = Daemon::start_with(&[&worker], settings, None, operator);
     let mut client = connect(&daemon);
     client.send(&rpc_call(&json!(1), "credit-submit", REFERENCE, 2900, "").to_string());
     worker.next().end();
@@ -308,7 +309,7 @@
     let live = UnixListener::bind(&path).unwrap();
     assert!(fail(&path), "another process listens");
     drop(live);
-    let mut daemon = Daemon::with(&[&worker], settings(), None, |_| {
+    let mut daemon = Daemon::start_with(&[&worker], settings(), None, |_| {
         format!("[jsonrpc]\nsocket = {path:?}\nmode = \"600\"\n")
     });
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
@@ -329,7 +330,7 @@
         let checker = format!("[[checkers]]\nid = \"s-0000c00{n}\"\nsocket = {:?}\n", paths[n]);
         format!("[jsonrpc]\nsocket = {socket:?}\nmode = \"600\"\n{checker}")
     };
-    let daemon = Daemon::with(&[], settings(), None, |folder| file(folder, "calls.sock", 0));
+    let daemon = Daemon::start_with(&[], settings(), None, |folder| file(folder, "calls.sock", 0));
     let (path, config) = (daemon.folder.at("operator.toml"), daemon.config.to_string());
     let mut client = connect(&daemon);
     client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 60_000, "").to_string());
@@ -410,7 +411,7 @@
         let mut settings = settings();
         settings["familyInfo"]["memoryMbByKind"] = json!([1000.0]);
         settings["familyInfo"]["notLoaded"] = json!("miss");
-        let daemon = Daemon::with(&[&workers[0], &workers[1]], settings, None, operator);
+        let daemon = Daemon::start_with(&[&workers[0], &workers[1]], settings, None, operator);
         let lines: Vec<Lines> = workers.into_iter().map(|worker| worker.serve(answer)).collect();
         let mut outcomes = Vec::new();
         let mut frames = Frames::connect(daemon.listen);
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -25,26 +25,26 @@
 
 impl Daemon {
     pub fn start(workers: &[&Worker]) -> Daemon {
-        Daemon::with(workers, settings(), None, |_| String::new())
+        Daemon::start_with(workers, settings(), None, |_| String::new())
     }
 
-    pub fn limited(workers: &[&Worker], limits: Value) -> Daemon {
-        Daemon::begin(workers, settings(), limits, None, |_| String::new())
+    pub fn with_limits(workers: &[&Worker], limits: Value) -> Daemon {
+        Daemon::start_with_limits(workers, settings(), limits, None, |_| String::new())
     }
 
     /// Starts the daemon with these agents, settings, bus and operator's file.
-    pub fn with(
+    pub fn start_with(
         workers: &[&Worker],
         settings: Value,
         bus: Option<SocketAddr>,
         operator: impl Fn(&Folder) -> String,
     ) -> Daemon {
-        Daemon::begin(workers, settings, json!({"sockets": 256}), bus, operator)
+        Daemon::start_with_limits(workers, settings, json!({"sockets": 256}), bus, operator)
     }
 
     /// The same, where system calls can be made to fail and the wall clock stepped, which is off by so much from the
     /// start on.
-    pub fn faulty(
+    pub fn with_faults(
         workers: &[&Worker],
         settings: Value,
         bus: Option<SocketAddr>,
@@ -52,7 +52,7 @@
         wall_clock_ms: i64,
     ) -> Daemon {
         let limits = json!({"sockets": 256});
-        let (folder, config) = Daemon::files(workers, settings, limits, bus, operator);
+        let (folder, config) = Daemon::write_files(workers, settings, limits, bus, operator);
         let faults = Faults::new(&folder.at("faults")).unwrap();
         faults.step_wall_clock(wall_clock_ms).unwrap();
         let mut daemon = Daemon::spawn_faulty(Arc::new(folder), config, None, Some(Arc::new(faults)));
@@ -65,21 +65,21 @@
         self.faults.as_ref().expect("it was started to meet faults")
     }
 
-    fn begin(
+    fn start_with_limits(
         workers: &[&Worker],
         settings: Value,
         limits: Value,
         bus: Option<SocketAddr>,
         operator: impl Fn(&Folder) -> String,
     ) -> Daemon {
-        let (folder, config) = Daemon::files(workers, settings, limits, bus, operator);
+        let (folder, config) = Daemon::write_files(workers, settings, limits, bus, operator);
         let mut daemon = Daemon::spawn(Arc::new(folder), config, None);
         daemon.serves();
         daemon
     }
 
     /// Writes the files of a daemon into a folder of its own.
-    fn files(
+    fn write_files(
         workers: &[&Worker],
         settings: Value,
         limits: Value,
@@ -107,12 +107,12 @@
     }
 
     /// Starts the daemon beside this one, on the same door, as the platform does at an upgrade.
-    pub fn beside(&self, listener: &TcpListener) -> Daemon {
+    pub fn spawn_beside(&self, listener: &TcpListener) -> Daemon {
         Daemon::spawn_faulty(self.folder.clone(), self.config.clone(), Some(listener), self.faults.clone())
     }
 
     /// Starts another daemon on the configuration of this one, where the system hands out so few descriptors.
-    pub fn scarce(&self, descriptors: u32) -> Daemon {
+    pub fn spawn_with_descriptor_limit(&self, descriptors: u32) -> Daemon {
         let folder = Arc::new(Folder::new());
         std::fs::write(folder.at("config.json"), self.config.to_string()).unwrap();
         let mut command = Command::new("sh");
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -104,7 +104,7 @@
 #[test]
 fn a_flood_of_long_frames_stays_within_memory() {
     let worker = Worker::over_tcp();
-    let daemon = Daemon::limited(&[&worker], json!({"sockets": 256, "memory_mb": 32}));
+    let daemon = Daemon::with_limits(&[&worker], json!({"sockets": 256, "memory_mb": 32}));
     worker.serve(echo);
     let resident = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", daemon.child.id())).unwrap();
@@ -180,7 +180,7 @@
         let worker = Worker::over_tcp();
         let mut settings = settings();
         settings["classes"][1]["repeatWindowNs"] = json!(window);
-        let daemon = Daemon::with(&[&worker], settings, None, |_| String::new());
+        let daemon = Daemon::start_with(&[&worker], settings, None, |_| String::new());
         let mut client = Frames::connect(daemon.listen);
         client.send(&frame(0, 1, &call("credit-submit", REFERENCE, 2900, b"")));
         let mut keys = Vec::new();
@@ -207,7 +207,7 @@
     let workers = [Worker::over_tcp(), Worker::over_tcp()];
     let mut settings = settings();
     settings["bounds"]["probes"] = json!(true);
-    let daemon = Daemon::with(&[&workers[0], &workers[1]], settings, None, |_| String::new());
+    let daemon = Daemon::start_with(&[&workers[0], &workers[1]], settings, None, |_| String::new());
     let mut client = Frames::connect(daemon.listen);
     client.send(&frame(0, 1, &call("credit-submit", REFERENCE, 60_000, b"")));
     // The hash decides which of the two gets the call.
@@ -337,7 +337,8 @@
 #[test]
 fn a_draining_or_removed_worker_gets_no_new_call_and_the_bus_resumes_from_the_last_event() {
     let (first, second, bus) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new());
-    let daemon = Daemon::with(&[&first], settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
+    let daemon =
+        Daemon::start_with(&[&first], settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
     let (mut feed, offset) = bus.accept();
     assert_eq!(offset, 1);
     let events = [event(2, 2, &second, 0), event(3, 1, &first, 1)].concat();
@@ -365,7 +366,8 @@
 #[test]
 fn a_silent_bus_is_replaced() {
     let (worker, bus) = (Worker::over_tcp(), Bus::new());
-    let daemon = Daemon::with(&[&worker], settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
+    let daemon =
+        Daemon::start_with(&[&worker], settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
     let (mut feed, _) = bus.accept();
     feed.write_all(&[&[0, 0, 0, 9][..], &[0; 9]].concat()).unwrap();
     let (_other, offset) = bus.accept();
@@ -378,7 +380,8 @@
 #[test]
 fn a_new_configuration_is_applied_completely_or_not_at_all() {
     let (worker, second, bus, moved) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new(), Bus::new());
-    let daemon = Daemon::with(&[&worker], settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
+    let daemon =
+        Daemon::start_with(&[&worker], settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
     let (mut feed, _) = bus.accept();
     feed.write_all(&event(2, 7, &second, 1)).unwrap();
     daemon.wait_counter("list_events", 2);
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -171,7 +171,7 @@
 ) {
     let workers: Vec<Worker> = (0..2).map(|_| Worker::over_tcp()).collect();
     let listed: Vec<&Worker> = workers.iter().collect();
-    let daemon = Daemon::with(&listed, settings(), None, |folder| {
+    let daemon = Daemon::start_with(&listed, settings(), None, |folder| {
         format!("[jsonrpc]\nsocket = {:?}\n", folder.at("calls.sock"))
     });
     let attempts: Arc<Mutex<Vec<Attempt>>> = Arc::default();
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -18,7 +18,7 @@
 
 /// A daemon of this priority whose only peer is the test.
 fn start(worker: &Worker, priority: u8, interval: u16, bind: &str, peer: SocketAddr) -> Daemon {
-    Daemon::with(&[worker], settings(), None, |folder| {
+    Daemon::start_with(&[worker], settings(), None, |folder| {
         format!(
             "[jsonrpc]\nsocket = {:?}\n[vrrp]\nvrid = 7\npriority = {priority}\ninterval_cs = {interval}\nbind = \"{bind}\"\n\
              peers = [\"{peer}\"]\naddress = \"127.0.0.100\"\n",
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -85,7 +85,8 @@
     fn start(settings: Value, wall_clock_ms: i64) -> Site {
         let (known, reported, bus) = (Worker::over_tcp(), Worker::over_tcp(), Bus::new());
         let address = bus.0.local_addr().unwrap();
-        let daemon = Daemon::faulty(&[&known], settings, Some(address), |_| String::new(), wall_clock_ms);
+        let daemon =
+            Daemon::with_faults(&[&known], settings, Some(address), |_| String::new(), wall_clock_ms);
         let (discovery, _) = bus.accept();
         let at = reported.address();
         known.serve(echo);
@@ -187,7 +188,7 @@
 fn an_uncordoned_worker_is_cold_at_both(step_ms: i64) {
     let (one, other) = (Worker::over_tcp(), Worker::over_tcp());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let first = Daemon::faulty(&[&one, &other], cold_for(15_000), None, |_| String::new(), 0);
+    let first = Daemon::with_faults(&[&one, &other], cold_for(15_000), None, |_| String::new(), 0);
     let (folder, config) = (first.folder.clone(), first.config.clone());
     drop(first);
     let faults = |offset_ms: i64, name: &str| {
