--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -29,6 +29,7 @@
     Unix(PathBuf),
 }
 
+/// A worker's address, the start time of its process, and the connections to it.
 #[derive(Default)]
 struct PooledWorker {
     endpoint: Option<Endpoint>,
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -36,7 +36,9 @@
     batch: Option<u64>,
 }
 
+/// A batch whose reply has not been sent yet.
 struct Batch {
+    /// Responses that are still missing.
     outstanding: usize,
     replies: Vec<Value>,
 }
@@ -279,6 +281,7 @@
         }
     }
 
+    /// Sends the error for a line without an end; the connection finishes once it has been written.
     fn close_incomplete(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
         context.core.counters().malformed += 1;
         write_line(link, &error(&Value::Null, codes::PARSE, "the line has no end", None));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -185,6 +185,7 @@
     interest: Option<Interest>,
     /// Bytes read and not yet consumed.
     pub input: Vec<u8>,
+    /// Output, of which the first `written` bytes have been written to the socket.
     output: Vec<u8>,
     written: usize,
     connected: bool,
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -26,6 +26,7 @@
     Datagram(usize),
 }
 
+/// A connection with what the reactor keeps about it.
 struct Entry {
     link: Link,
     connection: Box<dyn Connection>,
@@ -33,6 +34,7 @@
     timer: Option<Timestamp>,
     /// The connection closes once its output is written and its peer has closed.
     finishing: bool,
+    /// The write half has been shut down.
     write_shut: bool,
     /// Input bytes discarded since the connection started to finish.
     discarded: usize,
@@ -411,7 +413,7 @@
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(vec![]),
             other => other?,
         }
-        let mut signals = Vec::new();
+        let mut wakeups = Vec::new();
         let ready: Vec<_> = self
             .events
             .iter()
@@ -424,13 +426,13 @@
         self.last_poll_empty = ready.is_empty();
         for (token, readable, peer_closed) in ready {
             match token.0 {
-                number if number < FIRST_PIPE_TOKEN => signals.push(Wakeup::Client(number)),
+                number if number < FIRST_PIPE_TOKEN => wakeups.push(Wakeup::Client(number)),
                 number if (FIRST_SOCKET_TOKEN..FIRST_CONNECTION_TOKEN).contains(&number) => {
-                    signals.push(Wakeup::Datagram(number - FIRST_SOCKET_TOKEN));
+                    wakeups.push(Wakeup::Datagram(number - FIRST_SOCKET_TOKEN));
                 }
                 number if number < FIRST_CONNECTION_TOKEN => {
                     self.drain_pipe(number - FIRST_PIPE_TOKEN);
-                    signals.push(Wakeup::Pipe(number - FIRST_PIPE_TOKEN));
+                    wakeups.push(Wakeup::Pipe(number - FIRST_PIPE_TOKEN));
                 }
                 // With input paused, the close would not be read from the stream. A peer that neither reads nor writes
                 // any more has gone.
@@ -456,7 +458,7 @@
             };
             self.invoke(token, core, due);
         }
-        Ok(signals)
+        Ok(wakeups)
     }
 
     /// Lower bound on the arrival of whatever this turn's poll reported: it had not arrived by then.
--- a/src/net/receive.rs
+++ b/src/net/receive.rs
@@ -27,13 +27,13 @@
     let message: RecvMsg<()> =
         recvmsg(stream.as_raw_fd(), &mut parts, Some(&mut control), MsgFlags::empty())?;
     let timestamp = message.cmsgs()?.find_map(|part| match part {
-        ControlMessageOwned::ScmTimestampns(time) => unix_time(time),
+        ControlMessageOwned::ScmTimestampns(time) => to_unix_time(time),
         _ => None,
     });
     Ok((message.bytes, timestamp))
 }
 
-fn unix_time(time: TimeSpec) -> Option<Timestamp> {
+fn to_unix_time(time: TimeSpec) -> Option<Timestamp> {
     let nanoseconds = time.tv_sec().checked_mul(1_000_000_000)?.checked_add(time.tv_nsec())?;
     u64::try_from(nanoseconds).ok().map(Timestamp)
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -321,8 +321,8 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     let mut client = Frames::connect(daemon.listen);
-    let odd = [json!({"verb": "200", "rid": "nobody"}), json!({"verb": "alive", "rid": REFERENCE})];
-    for (n, line) in odd.into_iter().enumerate() {
+    let unexpected = [json!({"verb": "200", "rid": "nobody"}), json!({"verb": "alive", "rid": REFERENCE})];
+    for (n, line) in unexpected.into_iter().enumerate() {
         let (n, name) = (n as u32 + 1, format!("{n:016x}"));
         client.send(&frame(0, n, &call("practice-check", &name, 2900, b"")));
         let mut command = worker.next();
