--- a/src/policy/readiness.rs
+++ b/src/policy/readiness.rs
@@ -2,15 +2,15 @@
 //! have begun to drain since, and after some time its drain counts as received, whether the update arrived or
 //! not.
 //!
-//! The list is valid for a while after discovery was last heard. After that, a worker is sent new work only
-//! if it has shown recently that it takes work, by its answer to a health check or by serving a request. Work
-//! for any other worker waits for a health check.
+//! The list is valid for a while after the last message from discovery. After that, a worker is sent new work
+//! only if it has shown recently that it takes work, by its answer to a health check or by serving a request.
+//! Work for any other worker waits for a health check.
 
 use crate::interface::*;
 use std::collections::BTreeSet;
 
 /// Share of the drain grace for which an answer is valid, from the time when the worker was asked. The rest
-/// covers the way of a message to the worker and delays of the event loop.
+/// covers the transit of a message to the worker and delays of the event loop.
 const CONFIRMATION_LIFETIME_SHARE: f64 = 0.8;
 /// Lower bound of the time for which an answer is valid: half of the tolerance that the platform adds to
 /// every limit.
@@ -103,9 +103,9 @@
     if settings.limits.may_probe { share } else { Duration(share.0 + MAX_LIST_CHANGE_DELAY.0) }
 }
 
-/// Returns how long the list is valid by itself after its source was heard. Where health checks are allowed,
-/// workers are checked only once a heartbeat is overdue. Where they are not, the next change that the source
-/// would have sent counts as received within this time.
+/// Returns how long the list is valid by itself after a message from its source. Where health checks are
+/// allowed, workers are checked only once a heartbeat is overdue. Where they are not, the next change that
+/// the source would have sent counts as received within this time.
 fn list_lifetime(settings: &Settings) -> Duration {
     let lifetime = confirmation_lifetime(settings);
     if settings.limits.may_probe { Duration(lifetime.0 + DISCOVERY_HEARTBEAT_ALLOWANCE.0) } else { lifetime }
@@ -134,13 +134,13 @@
             ListSource::Fixed => *self = ListValidity::default(),
             ListSource::Received { at } => self.extend(at + list_lifetime(settings)),
             ListSource::Confirmed { at } => {
-                // The publisher may itself have last heard discovery earlier, by up to the heartbeat
+                // The publisher's own last message from discovery may be older, by up to the heartbeat
                 // allowance.
                 let earliest = Timestamp(at.0.saturating_sub(DISCOVERY_HEARTBEAT_ALLOWANCE.0));
                 let counts_from = if settings.limits.may_probe { at } else { earliest };
                 self.extend(counts_from + list_lifetime(settings));
             }
-            // Changes that the source would have sent count as received from the moment it is asked anew.
+            // Changes that the source would have sent count as received from the moment it is asked again.
             ListSource::Resubscribed => {
                 self.valid_until = self.valid_until.map(|before| before.min(now + lifetime));
             }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -90,7 +90,7 @@
     armed: Option<Timestamp>,
     attempts: BTreeMap<RequestId, u16>,
     /// Attempts in flight: the worker and the send time.
-    in_flight: BTreeMap<(RequestId, u16), (u64, Timestamp)>,
+    open: BTreeMap<(RequestId, u16), (u64, Timestamp)>,
     /// The start of each worker as the scheduler knows it.
     known_starts: BTreeMap<u64, Timestamp>,
 }
@@ -111,7 +111,7 @@
     event_queue: BinaryHeap<Reverse<(Timestamp, u64, SimEvent)>>,
     event_count: u64,
     next_request: u32,
-    schedulers: Vec<Scheduler>,
+    fleet: Vec<Scheduler>,
     weights: Vec<f64>,
     workers: BTreeMap<u64, Worker>,
     served: u64,
@@ -182,7 +182,7 @@
             event_queue: BinaryHeap::new(),
             event_count: 0,
             next_request: 0,
-            schedulers: vec![],
+            fleet: vec![],
             weights,
             workers: (1..=scenario.workers).map(|n| (n, Worker::default())).collect(),
             served: 0,
@@ -193,7 +193,7 @@
         }
         for index in 0..scenario.schedulers as usize {
             let scheduler = simulation.new_scheduler(index);
-            simulation.schedulers.push(scheduler);
+            simulation.fleet.push(scheduler);
         }
         for index in 0..scenario.schedulers as usize {
             simulation.report_list(index);
@@ -222,7 +222,7 @@
             policy: Policy::new(settings(&self.scenario, index as u32), seed),
             armed: None,
             attempts: BTreeMap::new(),
-            in_flight: BTreeMap::new(),
+            open: BTreeMap::new(),
             known_starts: BTreeMap::new(),
         }
     }
@@ -231,7 +231,7 @@
         let list = self.workers.iter().map(|(n, worker)| member(*n, worker.started)).collect();
         let starts: Vec<_> =
             self.workers.iter().filter_map(|(n, worker)| Some((*n, worker.started?))).collect();
-        self.schedulers[index].known_starts.extend(starts);
+        self.fleet[index].known_starts.extend(starts);
         self.handle(index, Event::Members(ListKind::Full, list));
     }
 
@@ -251,18 +251,15 @@
 
     fn handle(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
-        self.schedulers[index].policy.handle(self.now, event, &mut actions);
+        self.fleet[index].policy.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { id, worker, .. } => self.send(index, id, worker.0),
                 Action::Cancel { id, attempt } => {
-                    let Some((worker, since)) = self.schedulers[index].in_flight.remove(&(id, attempt))
-                    else {
-                        continue;
-                    };
+                    let Some((worker, at)) = self.fleet[index].open.remove(&(id, attempt)) else { continue };
                     let queue = &mut self.workers.get_mut(&worker).unwrap().queue;
                     queue.retain(|waits| *waits != (index, id, attempt));
-                    self.end_attempt(index, id, attempt, since, Status::Cancelled);
+                    self.end_attempt(index, id, attempt, at, Status::Cancelled);
                 }
                 Action::Load { worker, function, .. } => {
                     self.record_arrival(index, worker.0);
@@ -282,8 +279,8 @@
                 }
                 Action::SetTimer { after } => {
                     let at = self.now + after;
-                    if self.schedulers[index].armed.is_none_or(|armed| at < armed) {
-                        self.schedulers[index].armed = Some(at);
+                    if self.fleet[index].armed.is_none_or(|armed| at < armed) {
+                        self.fleet[index].armed = Some(at);
                         self.schedule(at, SimEvent::Wakeup(index));
                     }
                 }
@@ -294,7 +291,7 @@
 
     /// Records the arrival of work at a worker, if the scheduler that sent it knew of the worker's current start.
     fn record_arrival(&mut self, index: usize, worker: u64) {
-        let (now, known_start) = (self.now, self.schedulers[index].known_starts.get(&worker).copied());
+        let (now, known_start) = (self.now, self.fleet[index].known_starts.get(&worker).copied());
         let state = self.workers.get_mut(&worker).unwrap();
         if let Some(started) = state.started.filter(|started| known_start == Some(*started)) {
             state.arrivals.push(now);
@@ -315,11 +312,11 @@
     }
 
     fn send(&mut self, index: usize, id: RequestId, worker: u64) {
-        let scheduler = &mut self.schedulers[index];
+        let scheduler = &mut self.fleet[index];
         let attempt = scheduler.attempts.entry(id).or_default();
         let number = *attempt;
         *attempt += 1;
-        scheduler.in_flight.insert((id, number), (worker, self.now));
+        scheduler.open.insert((id, number), (worker, self.now));
         self.record_arrival(index, worker);
         self.workers.get_mut(&worker).unwrap().queue.push_back((index, id, number));
         self.start_requests(worker);
@@ -416,15 +413,15 @@
                     self.add_request();
                 }
                 SimEvent::Wakeup(index) => {
-                    if self.schedulers[index].armed.is_some_and(|armed| armed <= at) {
-                        self.schedulers[index].armed = None;
+                    if self.fleet[index].armed.is_some_and(|armed| armed <= at) {
+                        self.fleet[index].armed = None;
                         self.handle(index, Event::Timeout);
                     }
                 }
                 SimEvent::AttemptServed(worker, index, id, number) => {
                     self.workers.get_mut(&worker).unwrap().running -= 1;
                     self.start_requests(worker);
-                    if let Some((_, since)) = self.schedulers[index].in_flight.remove(&(id, number)) {
+                    if let Some((_, since)) = self.fleet[index].open.remove(&(id, number)) {
                         self.served += 1;
                         self.end_attempt(index, id, number, since, Status::Ok);
                     }
@@ -443,7 +440,7 @@
                 SimEvent::WorkerStarts(worker) => {
                     let state = self.workers.get_mut(&worker).unwrap();
                     (state.started, state.arrivals) = (Some(at), vec![]);
-                    for index in 0..self.schedulers.len() {
+                    for index in 0..self.fleet.len() {
                         let delay_s = self.scenario.max_notice_delay_s * self.random_unit();
                         self.schedule(
                             at + Duration::millis((delay_s * 1000.0) as u64),
@@ -453,12 +450,12 @@
                 }
                 SimEvent::StartReported(worker, index) => {
                     let started = self.workers[&worker].started;
-                    self.schedulers[index].known_starts.extend(started.map(|started| (worker, started)));
+                    self.fleet[index].known_starts.extend(started.map(|started| (worker, started)));
                     self.handle(index, Event::Members(ListKind::Delta, vec![member(worker, started)]));
                 }
                 SimEvent::SchedulersRestart => {
-                    for index in 0..self.schedulers.len() {
-                        self.schedulers[index] = self.new_scheduler(index);
+                    for index in 0..self.fleet.len() {
+                        self.fleet[index] = self.new_scheduler(index);
                         self.report_list(index);
                     }
                 }
