--- a/src/client.rs
+++ b/src/client.rs
@@ -69,7 +69,7 @@
 use std::io;
 
 /// Connections that an embedded scheduler opens at most.
-const CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 
 /// A request of the embedding client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -109,11 +109,11 @@
     core: Core,
     reactor: Reactor,
     pool: Pool,
-    next: u64,
+    last_handle: u64,
     /// Makes names of requests unlike those of other clients of the same workers.
     salt: u32,
     answers: Vec<(RequestHandle, Answer)>,
-    ends: Vec<(RequestHandle, End)>,
+    chain_ends: Vec<(RequestHandle, End)>,
 }
 
 impl Client {
@@ -123,16 +123,16 @@
     /// The system gives no poll or no clock.
     pub fn new(site: Site, seed: u64) -> io::Result<Client> {
         let reactor = Reactor::new(SystemClock::new())?;
-        let pool = Pool::new(ConnectionLimits::of(&site), site.connect_limit, CONNECTIONS);
+        let pool = Pool::new(ConnectionLimits::of(&site), site.connect_limit, MAX_CONNECTIONS);
         let salt = (seed ^ seed >> 32) as u32 ^ std::process::id();
         Ok(Client {
             core: Core::new(site, seed),
             reactor,
             pool,
-            next: 0,
+            last_handle: 0,
             salt,
             answers: vec![],
-            ends: vec![],
+            chain_ends: vec![],
         })
     }
 
@@ -143,14 +143,15 @@
 
     /// The whole list of workers, whenever it has changed. A worker absent from it is gone.
     pub fn workers(&mut self, list: Vec<(Member, Endpoint)>) {
-        let listed = |worker| list.iter().any(|(m, _)| m.worker == worker && m.state != State::Gone);
+        let listed =
+            |worker| list.iter().any(|(member, _)| member.worker == worker && member.state != State::Gone);
         self.pool.retain(listed);
-        for (member, endpoint) in list.iter().filter(|(m, _)| m.state != State::Gone) {
+        for (member, endpoint) in list.iter().filter(|(member, _)| member.state != State::Gone) {
             self.pool.set_endpoint(member.worker, endpoint.clone(), member.started);
         }
         let members = list.into_iter().map(|(member, _)| member).collect();
         self.core.members(self.reactor.now(), ListKind::Full, members);
-        self.carry_out();
+        self.execute_commands();
     }
 
     /// The source of the list was heard now: the list that this client was given is complete. A source that may go out of reach
@@ -162,16 +163,16 @@
         let now = self.reactor.now();
         self.core.set_list_source(now, true, BTreeSet::new());
         self.core.discovery_received(now, now);
-        self.carry_out();
+        self.execute_commands();
     }
 
     /// Takes a request. [`Client::poll_once`] gives its one answer, unless it is cancelled before.
     pub fn submit(&mut self, call: OutgoingRequest) -> RequestHandle {
-        self.next += 1;
+        self.last_handle += 1;
         let OutgoingRequest { class, function, key, memory_mb, concurrency, load_time, deadline, body } =
             call;
-        let reference = format!("{:08x}{:08x}", self.salt, self.next as u32);
-        let owner = Owner { connection: 0, stream: self.next };
+        let reference = format!("{:08x}{:08x}", self.salt, self.last_handle as u32);
+        let owner = Owner { connection: 0, stream: self.last_handle };
         let call = IncomingRequest {
             owner,
             reference,
@@ -185,31 +186,31 @@
             body,
         };
         self.core.submit(self.reactor.now(), call);
-        self.carry_out();
-        RequestHandle(self.next)
+        self.execute_commands();
+        RequestHandle(self.last_handle)
     }
 
     /// Takes a chain: its steps run one after another, and [`Client::chain_ends`] has its one end once a turn has
     /// brought it. The deadline is also the wanted time of the last step's class, if that is earlier.
     pub fn chain(&mut self, key: Option<String>, deadline: Timestamp, steps: Vec<Step>) -> RequestHandle {
-        self.next += 1;
-        let owner = Owner { connection: 0, stream: self.next };
+        self.last_handle += 1;
+        let owner = Owner { connection: 0, stream: self.last_handle };
         self.core.chain(self.reactor.now(), Chain { owner, key, deadline, steps });
-        self.carry_out();
-        RequestHandle(self.next)
+        self.execute_commands();
+        RequestHandle(self.last_handle)
     }
 
     /// The chains that have ended since this was asked last.
     pub fn chain_ends(&mut self) -> Vec<(RequestHandle, End)> {
-        std::mem::take(&mut self.ends)
+        std::mem::take(&mut self.chain_ends)
     }
 
     /// Nobody waits for this request or chain any more: no answer comes, and workers are told where that helps.
     pub fn cancel(&mut self, call: RequestHandle) {
         self.core.withdraw(self.reactor.now(), Owner { connection: 0, stream: call.0 });
         self.answers.retain(|(id, _)| *id != call);
-        self.ends.retain(|(id, _)| *id != call);
-        self.carry_out();
+        self.chain_ends.retain(|(id, _)| *id != call);
+        self.execute_commands();
     }
 
     /// Works until something has happened or `until` has come; the requests that have ended.
@@ -217,10 +218,10 @@
     /// # Errors
     /// The wait itself failed; connections that fail only end their own requests.
     pub fn poll_once(&mut self, until: Timestamp) -> io::Result<Vec<(RequestHandle, Answer)>> {
-        if self.answers.is_empty() && self.ends.is_empty() {
+        if self.answers.is_empty() && self.chain_ends.is_empty() {
             let due = self.core.next_timeout().into_iter().chain([until]).min();
             self.reactor.poll_once(due, &mut self.core)?;
-            self.carry_out();
+            self.execute_commands();
         }
         Ok(std::mem::take(&mut self.answers))
     }
@@ -230,14 +231,16 @@
         self.core.counters()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_commands(&mut self) {
         self.core.on_timeout(self.reactor.now());
         loop {
             match self.core.next_command() {
                 Some(Command::Answer { owner, answer }) => {
                     self.answers.push((RequestHandle(owner.stream), answer));
                 }
-                Some(Command::Chain { owner, end }) => self.ends.push((RequestHandle(owner.stream), end)),
+                Some(Command::Chain { owner, end }) => {
+                    self.chain_ends.push((RequestHandle(owner.stream), end))
+                }
                 Some(command) => self.pool.execute(command, &mut self.reactor, &mut self.core),
                 None if self.pool.write_next_attempt(&mut self.reactor, &mut self.core) => {}
                 None => return,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -20,7 +20,7 @@
 use crate::net::{Reactor, SystemClock, Wakeup, inherit, retry_while_transient};
 use crate::start_times::StartTimes;
 use crate::vrrp::Event;
-use accept::AcceptAgain;
+use accept::PendingAccept;
 use distribution::Distribution;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -38,7 +38,7 @@
 use upgrade::Upgrade;
 
 /// Descriptors kept for the poll, the listeners, the pipes, discovery and the standard streams.
-const RESERVED: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 
 struct Daemon {
     sources: Sources,
@@ -48,11 +48,11 @@
     config: Config,
     operator: Operator,
     /// Workers of the operator's file: discovery tells nothing of them.
-    fixed: Vec<Member>,
+    checkers: Vec<Member>,
     received_events: Rc<RefCell<ReceivedEvents>>,
     /// When workers started, and whether the list of the configuration has been learned.
-    starts: StartTimes,
-    list_begun: bool,
+    start_times: StartTimes,
+    known_list_applied: bool,
     /// For what schedulers of one fleet must not do at one time.
     rng: Pcg64Mcg,
     next_discovery_attempt: Option<Timestamp>,
@@ -63,9 +63,9 @@
     /// Where the platform holds that listener, another process may take over.
     upgrade: Option<Upgrade>,
     /// Sums over the last events of discovery.
-    sums: VecDeque<(u64, u64)>,
+    event_sums: VecDeque<(u64, u64)>,
     /// When to take clients again at listeners that may have more; see `accept`.
-    accept_again: BTreeMap<usize, AcceptAgain>,
+    pending_accepts: BTreeMap<usize, PendingAccept>,
     /// The listener of the second address, and those who call there, in the order they came.
     mgmt: Option<usize>,
     operator_connections: VecDeque<u64>,
@@ -75,13 +75,13 @@
     router: Option<Router>,
     fleet: Option<fleet::Member>,
     /// When to try again to take the fleet's address over from the old process.
-    fleet_again: Option<Timestamp>,
+    fleet_retry_at: Option<Timestamp>,
     distribution: Option<Distribution>,
     pipes: Pipes,
     /// The reading of the files at SIGHUP.
     reloads: Reloads,
     /// The times of its end, once that has begun.
-    ending: Option<ShutdownTimes>,
+    shutdown: Option<ShutdownTimes>,
     notified_late_clients: bool,
 }
 
@@ -115,7 +115,7 @@
     // First of all: a signal that comes while the files are read would end the process.
     let signals = retry_while_transient(Signals::new).map_err(|e| format!("cannot serve: {e}"))?;
     let name = std::env::var("GW_NAME").unwrap_or_default();
-    let (config, operator) = upgrade::fall_back(&sources, &name)?;
+    let (config, operator) = upgrade::read_config_or_saved(&sources, &name)?;
     let served = Daemon::new(config, operator, sources, signals).and_then(|mut daemon| daemon.serve());
     served.map_err(|e| format!("cannot serve: {e}"))
 }
@@ -125,10 +125,12 @@
     let (listener, own) = match sources.passed {
         None => retry_while_transient(|| reactor.listen(config.listen))?,
         Some(number) => {
-            let odd = |e: io::Error| {
+            let with_descriptor = |e: io::Error| {
                 io::Error::new(e.kind(), format!("GW_PASSED_SOCKET names descriptor {number}: {e}"))
             };
-            reactor.listen_shared(retry_while_transient(|| inherit::listener(number)).map_err(odd)?)?
+            reactor.listen_shared(
+                retry_while_transient(|| inherit::listener(number)).map_err(with_descriptor)?,
+            )?
         }
     };
     config.listen = own;
@@ -137,9 +139,9 @@
 
 /// The listener of the second address, where the configuration names one.
 fn listen_for_operators(config: &mut Config, reactor: &mut Reactor) -> io::Result<Option<usize>> {
-    let Some(at) = &mut config.mgmt else { return Ok(None) };
-    let (listener, own) = retry_while_transient(|| reactor.listen(*at))?;
-    *at = own;
+    let Some(address) = &mut config.mgmt else { return Ok(None) };
+    let (listener, own) = retry_while_transient(|| reactor.listen(*address))?;
+    *address = own;
     Ok(Some(listener))
 }
 
@@ -195,10 +197,10 @@
         };
         let mut reactor = retry_while_transient(|| Reactor::new(clock))?;
         let Signals { end, print, reload } = signals;
-        let (read, done) = retry_while_transient(UnixStream::pair)?;
+        let (reload_done, done) = retry_while_transient(UnixStream::pair)?;
         let pipes =
             Pipes { end: reactor.watch(end)?, print: reactor.watch(print)?, reload: reactor.watch(reload)? };
-        reactor.watch(read)?;
+        reactor.watch(reload_done)?;
         let listener = listen_for_clients(&sources, &mut config, &mut reactor)?;
         let upgrade = sources.passed.map(|_| Upgrade::new(&config.name));
         let mgmt = listen_for_operators(&mut config, &mut reactor)?;
@@ -210,10 +212,10 @@
         limit_memory(&config, 1, &mut core, &mut reactor);
         let (limits, connect) = worker_limits(&config);
         let mut pool = Pool::new(limits, connect, descriptors(&config));
-        let mut fixed = Vec::new();
+        let mut checkers = Vec::new();
         for (member, path) in operator.members(&config.site) {
             pool.set_endpoint(member.worker, backend::Endpoint::Unix(path), None);
-            fixed.push(member);
+            checkers.push(member);
         }
         let received_events =
             Rc::new(RefCell::new(ReceivedEvents { down: true, ..ReceivedEvents::default() }));
@@ -225,40 +227,40 @@
             pool,
             config,
             received_events,
-            starts: StartTimes::default(),
-            list_begun: false,
+            start_times: StartTimes::default(),
+            known_list_applied: false,
             rng: Pcg64Mcg::seed_from_u64(seed),
             next_discovery_attempt,
             discovery_connection: None,
             operator,
-            fixed,
+            checkers,
             listener: (listener, upgrade.is_none()),
             upgrade,
-            sums: VecDeque::new(),
-            accept_again: BTreeMap::new(),
+            event_sums: VecDeque::new(),
+            pending_accepts: BTreeMap::new(),
             mgmt,
             operator_connections: VecDeque::new(),
             rpc,
             rpc_clients: BTreeSet::new(),
             router,
             fleet,
-            fleet_again: None,
+            fleet_retry_at: None,
             distribution,
             pipes,
             reloads: Reloads::new(done),
-            ending: None,
+            shutdown: None,
             notified_late_clients: false,
         })
     }
 
     fn serve(&mut self) -> io::Result<()> {
-        self.follow_list();
+        self.set_list_source();
         self.apply_known_events();
-        self.settle();
-        self.list_begun = true;
+        self.execute_commands();
+        self.known_list_applied = true;
         match self.upgrade {
-            None => self.open(),
-            Some(_) => self.upgrade(handover::HandoverInput::Started),
+            None => self.begin_serving(),
+            Some(_) => self.handle_handover(handover::HandoverInput::Started),
         }
         loop {
             let until = self.next_wakeup();
@@ -266,13 +268,13 @@
                 self.handle_signal(signal);
             }
             self.run_timers();
-            self.settle();
+            self.execute_commands();
             self.advance_shutdown();
             if let Some(why) = self.upgrade.as_ref().and_then(|upgrade| upgrade.failed) {
                 return Err(io::Error::other(why));
             }
-            if self.ended() && (self.reactor.last_poll_was_empty() || self.overdue()) {
-                self.print();
+            if self.may_exit() && (self.reactor.last_poll_was_empty() || self.shutdown_overdue()) {
+                self.log_counters();
                 info!(name = %self.config.name, "ended");
                 return Ok(());
             }
@@ -281,9 +283,9 @@
 
     /// The workers of the operator's file, and the events that the configuration knows, as if they had just come.
     fn apply_known_events(&mut self) {
-        if !self.fixed.is_empty() {
+        if !self.checkers.is_empty() {
             let now = self.reactor.now();
-            self.core.members(now, ListKind::Full, self.fixed.clone());
+            self.core.members(now, ListKind::Full, self.checkers.clone());
         }
         for event in std::mem::take(&mut self.config.known_events) {
             let mut received = self.received_events.borrow_mut();
@@ -300,51 +302,51 @@
             self.core.next_timeout(),
             self.next_discovery_attempt,
             self.save_timeout(),
-            self.paths_timeout(),
+            self.endpoints_timeout(),
             self.fleet_timeout(),
             self.distribution_timeout(),
             // Before the end, what has come in the meantime is looked for once more.
-            self.ended().then(|| self.reactor.now()),
+            self.may_exit().then(|| self.reactor.now()),
             self.next_shutdown_step(),
         ];
-        let accepts = self.accept_again.values().map(|again| again.due);
+        let accepts = self.pending_accepts.values().map(|pending| pending.due);
         timeouts.into_iter().flatten().chain(accepts).min()
     }
 
     fn handle_signal(&mut self, signal: Wakeup) {
         match signal {
             Wakeup::Client(listener) => self.accept(listener),
-            Wakeup::Pipe(pipe) if pipe == self.pipes.end => self.begin_end(),
-            Wakeup::Pipe(pipe) if pipe == self.pipes.print => self.print(),
+            Wakeup::Pipe(pipe) if pipe == self.pipes.end => self.begin_shutdown(),
+            Wakeup::Pipe(pipe) if pipe == self.pipes.print => self.log_counters(),
             Wakeup::Pipe(pipe) if pipe == self.pipes.reload => self.reload(),
-            Wakeup::Pipe(_) => self.reloaded(),
-            Wakeup::Datagram(socket) if self.is_fleet(socket) => self.receive_fleet_datagrams(),
-            Wakeup::Datagram(socket) if self.is_distribution(socket) => {
+            Wakeup::Pipe(_) => self.finish_reload(),
+            Wakeup::Datagram(socket) if self.is_fleet_socket(socket) => self.receive_fleet_datagrams(),
+            Wakeup::Datagram(socket) if self.is_distribution_socket(socket) => {
                 self.receive_distribution_datagrams();
             }
-            Wakeup::Datagram(socket) => self.receive_datagrams(socket),
+            Wakeup::Datagram(socket) => self.receive_vrrp_datagrams(socket),
         }
     }
 
     /// What is due by now in all parts.
     fn run_timers(&mut self) {
-        self.accept_late();
-        self.keep_late();
-        self.take_places_late();
-        self.vrrp(Event::Timer);
-        self.take_fleet();
+        self.retry_accepts();
+        self.retry_save_config();
+        self.retry_take_endpoints();
+        self.handle_vrrp(Event::Timer);
+        self.retry_join_fleet();
         self.publish_demand();
-        self.fleet(crate::fleet::FleetInput::Timer);
-        self.take_distribution();
-        self.distribute(crate::fleet::distribution::DistributionInput::Timer);
-        self.note_distributed_list();
-        self.upgrade(handover::HandoverInput::Timeout);
+        self.handle_fleet(crate::fleet::FleetInput::Timer);
+        self.retry_join_distribution();
+        self.handle_distribution(crate::fleet::distribution::DistributionInput::Timer);
+        self.report_list_freshness();
+        self.handle_handover(handover::HandoverInput::Timeout);
     }
 
     /// From now on clients are taken.
-    fn open(&mut self) {
+    fn begin_serving(&mut self) {
         self.reactor.ready = true;
-        self.vrrp(Event::Startup);
+        self.handle_vrrp(Event::Startup);
         self.join_fleet();
         let (listen, mgmt, offset) =
             (self.config.listen, self.config.mgmt, self.received_events.borrow().offset);
@@ -352,13 +354,13 @@
     }
 
     /// Acts on everything that waits, until nothing does.
-    fn settle(&mut self) {
+    fn execute_commands(&mut self) {
         let now = self.reactor.now();
-        self.follow_discovery(now);
+        self.advance_discovery(now);
         if self.core.next_timeout().is_some_and(|at| at <= now) {
             // There is no connection to end here. What the panic leaves undone runs into its deadlines.
-            let woken = catch_unwind(AssertUnwindSafe(|| self.core.on_timeout(now)));
-            if woken.is_err() {
+            let result = catch_unwind(AssertUnwindSafe(|| self.core.on_timeout(now)));
+            if result.is_err() {
                 self.core.counters().panics += 1;
                 error!("panic timer");
             }
@@ -387,18 +389,18 @@
                 }
                 Command::PublishHealth { worker, answers } => {
                     let (topic, update) = (GossipTopic::Worker(worker.0), GossipUpdate::Answers(answers));
-                    self.fleet(crate::fleet::FleetInput::Observed(topic, update));
+                    self.handle_fleet(crate::fleet::FleetInput::Observed(topic, update));
                 }
                 Command::PublishCordon { worker, cordoned } => {
                     let worker = worker.0;
-                    self.upgrade(handover::HandoverInput::CordonChanged { worker, cordoned });
+                    self.handle_handover(handover::HandoverInput::CordonChanged { worker, cordoned });
                 }
                 command => self.pool.execute(command, &mut self.reactor, &mut self.core),
             }
         }
     }
 
-    fn print(&mut self) {
+    fn log_counters(&mut self) {
         info!("figures {}", self.core.figures().to_string().trim_end().replace('\n', " "));
         info!("{}", self.core.counters());
         info!("violations{}", self.core.violations());
@@ -406,15 +408,15 @@
 }
 
 /// Bodies of open requests take a sixth of the memory, and output that nobody reads another.
-fn limit_memory(config: &Config, share: usize, core: &mut Core, reactor: &mut Reactor) {
-    let memory = (config.memory_mb << 20) / share;
+fn limit_memory(config: &Config, process_count: usize, core: &mut Core, reactor: &mut Reactor) {
+    let memory = (config.memory_mb << 20) / process_count;
     core.limit_memory(memory);
     reactor.max_unwritten_bytes = memory / 6;
 }
 
 /// Descriptors that connections may take where no other process shares them.
 fn descriptors(config: &Config) -> usize {
-    config.sockets.saturating_sub(RESERVED)
+    config.sockets.saturating_sub(RESERVED_DESCRIPTORS)
 }
 
 /// What the configuration lets connections to workers take.
--- a/src/daemon/accept.rs
+++ b/src/daemon/accept.rs
@@ -15,13 +15,13 @@
 use tracing::warn;
 
 /// Connections taken at one listener in one turn of the loop: a flood of them must not keep requests waiting.
-const TURN: usize = 256;
+const MAX_ACCEPTS_PER_TURN: usize = 256;
 /// How soon a listener is asked again where the system did not hand out a connection.
-const AGAIN: Duration = Duration::millis(20);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::millis(20);
 
 /// A listener that is to be asked again.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AcceptAgain {
+pub(super) struct PendingAccept {
     /// When.
     pub(super) due: Timestamp,
     /// Since when somebody may wait there.
@@ -69,8 +69,8 @@
         if listener == self.listener.0 && !self.listener.1 {
             return;
         }
-        let mut pause = AGAIN;
-        for _ in 0..TURN {
+        let mut pause = ACCEPT_RETRY_INTERVAL;
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.reactor.accept(listener) {
                 Ok(Some(stream)) => {
                     // There are more, in all likelihood; where every request fails there may be none.
@@ -80,23 +80,23 @@
                 Ok(None) => return,
                 Err(e) => match AcceptFailure::of(&e) {
                     AcceptFailure::Connection => {}
-                    failure => return self.accept_later(listener, &failure, &e),
+                    failure => return self.handle_accept_failure(listener, &failure, &e),
                 },
             }
         }
-        self.accept_again(listener, pause);
+        self.schedule_accept(listener, pause);
     }
 
     /// Comes back to a listener after a while. Those that wait there may have done so since it was asked first.
-    fn accept_again(&mut self, listener: usize, pause: Duration) {
+    fn schedule_accept(&mut self, listener: usize, pause: Duration) {
         let now = self.reactor.now();
         let (due, since) = (now + pause, self.reactor.arrival_bound());
-        self.accept_again.insert(listener, AcceptAgain { due, since });
+        self.pending_accepts.insert(listener, PendingAccept { due, since });
     }
 
-    fn accept_later(&mut self, listener: usize, failure: &AcceptFailure, error: &io::Error) {
+    fn handle_accept_failure(&mut self, listener: usize, failure: &AcceptFailure, error: &io::Error) {
         let now = self.reactor.now();
-        self.accept_again(listener, AGAIN);
+        self.schedule_accept(listener, ACCEPT_RETRY_INTERVAL);
         if self.core.may_log(now) {
             warn!(why = %error, "accept failed");
         }
@@ -106,14 +106,14 @@
     }
 
     /// Asks those listeners again whose time has come.
-    pub(super) fn accept_late(&mut self) {
+    pub(super) fn retry_accepts(&mut self) {
         let now = self.reactor.now();
-        let due = |(listener, again): (&usize, &AcceptAgain)| {
-            (again.due <= now).then_some((*listener, again.since))
+        let due = |(listener, pending): (&usize, &PendingAccept)| {
+            (pending.due <= now).then_some((*listener, pending.since))
         };
-        let due: Vec<(usize, ClockReading)> = self.accept_again.iter().filter_map(due).collect();
+        let due: Vec<(usize, ClockReading)> = self.pending_accepts.iter().filter_map(due).collect();
         for (listener, since) in due {
-            self.accept_again.remove(&listener);
+            self.pending_accepts.remove(&listener);
             self.reactor.lower_arrival_bound(since);
             self.accept(listener);
         }
@@ -123,7 +123,7 @@
         if self.mgmt == Some(listener) {
             return self.accept_operator(stream);
         }
-        if self.meets_at(listener) {
+        if self.is_handover_listener(listener) {
             return self.admit_peer(stream);
         }
         // Clients hold a third of the descriptors at most; what workers need is kept free.
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 
 /// Events of discovery whose sums are kept.
-const SUMS: usize = 256;
+const MAX_EVENT_SUMS: usize = 256;
 
 impl Daemon {
     /// Tells the core whether the list of workers follows a source that may go out of reach.
-    pub(super) fn follow_list(&mut self) {
-        let fixed: BTreeSet<_> = self.fixed.iter().map(|member| member.worker).collect();
+    pub(super) fn set_list_source(&mut self) {
+        let checkers: BTreeSet<_> = self.checkers.iter().map(|member| member.worker).collect();
         let follows = self.config.discovery.is_some() || self.operator.subscribes();
-        self.core.set_list_source(self.reactor.now(), follows, fixed);
+        self.core.set_list_source(self.reactor.now(), follows, checkers);
     }
 
-    pub(super) fn follow_discovery(&mut self, now: Timestamp) {
+    pub(super) fn advance_discovery(&mut self, now: Timestamp) {
         loop {
             let Some(event) = self.received_events.borrow_mut().events.pop_front() else { break };
-            self.sums.push_back((event.offset, event.sum()));
-            self.sums.drain(..self.sums.len().saturating_sub(SUMS));
-            self.learn(now, event);
+            self.event_sums.push_back((event.offset, event.sum()));
+            self.event_sums.drain(..self.event_sums.len().saturating_sub(MAX_EVENT_SUMS));
+            self.apply_event(now, event);
         }
         let Some(address) = self.config.discovery else { return self.next_discovery_attempt = None };
         if std::mem::take(&mut self.received_events.borrow_mut().down) {
@@ -41,64 +41,64 @@
         self.discovery_connection = None;
         let connection = Box::new(DiscoveryConnection::new(self.received_events.clone(), now));
         let stream = self.reactor.connect(address);
-        let up = stream.ok().and_then(|stream| {
+        let connected = stream.ok().and_then(|stream| {
             self.reactor.add(
                 stream,
                 connection,
                 false,
-                BufferLimits { input: discovery::MAX_FRAME_LENGTH + 4, output: 4096 },
+                BufferLimits { input: discovery::MAX_FRAME_BYTES + 4, output: 4096 },
                 &mut self.core,
             )
         });
-        if up.is_none() {
+        if connected.is_none() {
             let mut received = self.received_events.borrow_mut();
             (received.down, received.failures) = (false, received.failures + 1);
             self.next_discovery_attempt = Some(now + discovery::backoff(received.failures, &mut self.rng));
         }
-        self.discovery_connection = up;
+        self.discovery_connection = connected;
     }
 
-    pub(super) fn learn(&mut self, now: Timestamp, mut event: WatchEvent) {
+    pub(super) fn apply_event(&mut self, now: Timestamp, mut event: WatchEvent) {
         if self.list_is_distributed() {
             return;
         }
         if event.kind == ListKind::Full {
             let listed: BTreeSet<_> = event.entries.iter().map(|entry| entry.member.worker).collect();
-            let fixed: BTreeSet<_> = self.fixed.iter().map(|member| member.worker).collect();
-            self.pool.retain(|worker| listed.contains(&worker) || fixed.contains(&worker));
-            self.starts.retain(|worker| listed.contains(&worker));
+            let checkers: BTreeSet<_> = self.checkers.iter().map(|member| member.worker).collect();
+            self.pool.retain(|worker| listed.contains(&worker) || checkers.contains(&worker));
+            self.start_times.retain(|worker| listed.contains(&worker));
         }
         for entry in &mut event.entries {
-            self.place_worker(now, &mut entry.member, entry.address);
+            self.update_worker(now, &mut entry.member, entry.address);
         }
         let mut members: Vec<Member> = event.entries.into_iter().map(|entry| entry.member).collect();
         if event.kind == ListKind::Full {
-            members.extend(&self.fixed);
+            members.extend(&self.checkers);
         }
-        let told =
+        let changed =
             (event.kind == ListKind::Delta).then(|| members.iter().map(|member| member.worker).collect());
         self.core.members(now, event.kind, members);
-        self.source_changed(told);
+        self.source_changed(changed);
     }
 
     /// A worker is there, or gone, as the list tells. Its start, told in Unix time, is put into the scheduler's own.
-    pub(super) fn place_worker(&mut self, now: Timestamp, member: &mut Member, address: SocketAddr) {
+    pub(super) fn update_worker(&mut self, now: Timestamp, member: &mut Member, address: SocketAddr) {
         if member.state == State::Gone {
-            self.starts.remove(member.worker);
+            self.start_times.remove(member.worker);
             return self.pool.remove(member.worker);
         }
         let clocks = Clocks { own: now, wall: self.reactor.wall() };
-        member.started = if self.list_begun {
-            self.starts.reported_now(clocks, member.worker, member.started)
+        member.started = if self.known_list_applied {
+            self.start_times.reported_now(clocks, member.worker, member.started)
         } else {
-            self.starts.begin_with(clocks, member.worker, member.started)
+            self.start_times.reported_at_start(clocks, member.worker, member.started)
         };
         self.pool.set_endpoint(member.worker, Endpoint::Tcp(address), member.started);
     }
 
     /// Discovery has another address: the old one tells nothing more. The new one is asked at once, from the
     /// last event on, and the old connection's end is none of the new one's.
-    pub(super) fn move_discovery(&mut self, now: Timestamp) {
+    pub(super) fn change_discovery_address(&mut self, now: Timestamp) {
         let (offset, events) = {
             let mut old = self.received_events.borrow_mut();
             (old.offset, std::mem::take(&mut old.events))
--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -26,41 +26,41 @@
 /// Interval between attempts to bind the domain's address, while the old process has it.
 const BIND_RETRY_INTERVAL: Duration = Duration::millis(50);
 
-/// What this process is in its domain, and what it has from there. The latter stays when the place goes to another
+/// What this process is in its domain, and what it has from there. The latter stays when the joined goes to another
 /// process, as at an upgrade.
 pub(super) struct Distribution {
-    place: Option<Place>,
+    joined: Option<DomainNode>,
     /// When to try again to take the address over from the old process.
-    again: Option<Timestamp>,
+    retry_at: Option<Timestamp>,
     classes: Rc<RefCell<Classes>>,
     /// The list of workers came from the domain: what the file and discovery say counts no longer.
-    pub(super) lists: bool,
+    pub(super) provides_list: bool,
 }
 
-/// A process's place in its domain.
-struct Place {
+/// A process's joined in its domain.
+struct DomainNode {
     node: Rc<RefCell<DistributionNode>>,
     socket: usize,
     role: Role,
     /// Stands for the domain's name in datagrams.
     domain: u64,
     process: Process,
-    /// Whether anything was installed since this place was taken.
+    /// Whether anything was installed since this joined was taken.
     installed: bool,
     /// When the list was last known to be up to date, as the core knows it.
-    list_heard_at: Option<Timestamp>,
+    list_confirmed_at: Option<Timestamp>,
     /// Of a replica.
     publisher: Option<Publisher>,
 }
 
 impl Distribution {
-    /// One that has no place yet.
+    /// One that has no joined yet.
     pub(super) fn new(config: &Config) -> Distribution {
         let classes = Rc::new(RefCell::new(Classes::new(config)));
-        Distribution { place: None, again: None, classes, lists: false }
+        Distribution { joined: None, retry_at: None, classes, provides_list: false }
     }
 
-    /// Takes this process's place.
+    /// Takes this process's joined.
     pub(super) fn join(
         &mut self,
         setting: &config::Distribution,
@@ -85,7 +85,7 @@
             catch_up_bytes_per_second: setting.catch_up_bytes_per_second,
             seed,
         };
-        self.classes.borrow_mut().begin();
+        self.classes.borrow_mut().expect_snapshot();
         let check: Box<dyn ChangeCheck> = match role {
             // It hands on what schedulers judge for themselves.
             Role::Relay => Box::new(NoCheck),
@@ -93,14 +93,14 @@
         };
         let node = Rc::new(RefCell::new(DistributionNode::new(now, setting, check)));
         reactor.distribution = Some(node.clone());
-        self.place = Some(Place {
+        self.joined = Some(DomainNode {
             node,
             socket,
             role,
             domain: message::fleet(&setting_name, &[]),
             process: Process { index: config.site.settings.index, incarnation: seed },
             installed: false,
-            list_heard_at: None,
+            list_confirmed_at: None,
             publisher: (role == Role::Replica).then(Publisher::default),
         });
         Ok(())
@@ -110,9 +110,9 @@
 /// The topics of a subscriber's zones, in order.
 fn interest(zones: Option<&[String]>, all: &[String]) -> Interest {
     let Some(zones) = zones else { return Interest::All };
-    let place = |zone: &String| all.iter().position(|known| known == zone);
+    let index = |zone: &String| all.iter().position(|known| known == zone);
     let topics: BTreeSet<Topic> =
-        zones.iter().filter_map(place).map(|place| Topic::workers_of(ZoneId(place as u8))).collect();
+        zones.iter().filter_map(index).map(|index| Topic::workers_of(ZoneId(index as u8))).collect();
     Interest::Topics(topics.into_iter().collect())
 }
 
@@ -124,47 +124,47 @@
     config.classes().iter().filter_map(class).collect()
 }
 
-fn number(version: Version) -> String {
+fn version_text(version: Version) -> String {
     format!("{}.{}", version.fence, version.sequence)
 }
 
 impl Daemon {
-    fn place(&self) -> Option<&Place> {
-        self.distribution.as_ref()?.place.as_ref()
+    fn joined(&self) -> Option<&DomainNode> {
+        self.distribution.as_ref()?.joined.as_ref()
     }
 
     fn publisher(&mut self) -> Option<&mut Publisher> {
-        self.distribution.as_mut()?.place.as_mut()?.publisher.as_mut()
+        self.distribution.as_mut()?.joined.as_mut()?.publisher.as_mut()
     }
 
-    /// The place in the domain is that of the process that takes the clients, as that in the fleet is.
-    pub(super) fn give_distribution(&mut self, open: bool) {
+    /// The joined in the domain is that of the process that takes the clients, as that in the fleet is.
+    pub(super) fn join_or_leave_distribution(&mut self, open: bool) {
         let Some(distribution) = &mut self.distribution else { return };
-        if !open && let Some(place) = distribution.place.take() {
-            self.reactor.close_datagram_socket(place.socket);
+        if !open && let Some(joined) = distribution.joined.take() {
+            self.reactor.close_datagram_socket(joined.socket);
             self.reactor.distribution = None;
-            distribution.again = None;
+            distribution.retry_at = None;
         }
-        if open && distribution.place.is_none() {
-            distribution.again = Some(self.reactor.now());
+        if open && distribution.joined.is_none() {
+            distribution.retry_at = Some(self.reactor.now());
         }
     }
 
     /// Tries to take the address in the domain, for as long as another process has it.
-    pub(super) fn take_distribution(&mut self) {
+    pub(super) fn retry_join_distribution(&mut self) {
         let now = self.reactor.now();
         let (Some(distribution), Some(setting)) = (&mut self.distribution, &self.operator.distribution)
         else {
             return;
         };
-        if distribution.again.is_none_or(|at| at > now) || self.ending.is_some() {
+        if distribution.retry_at.is_none_or(|at| at > now) || self.shutdown.is_some() {
             return;
         }
-        distribution.again = None;
+        distribution.retry_at = None;
         match distribution.join(setting, &self.config, &mut self.reactor) {
-            Ok(()) => self.distribute(DistributionInput::Timer),
+            Ok(()) => self.handle_distribution(DistributionInput::Timer),
             Err(e) if e.kind() == io::ErrorKind::AddrInUse || is_transient(&e) => {
-                distribution.again = Some(now + BIND_RETRY_INTERVAL);
+                distribution.retry_at = Some(now + BIND_RETRY_INTERVAL);
             }
             Err(why) => warn!(%why, "upgrade no distribution"),
         }
@@ -172,25 +172,25 @@
 
     /// When the distribution is to be handled next.
     pub(super) fn distribution_timeout(&self) -> Option<Timestamp> {
-        let due = self.place().and_then(|place| place.node.borrow().next_timeout());
-        due.into_iter().chain(self.distribution.as_ref().and_then(|distribution| distribution.again)).min()
+        let due = self.joined().and_then(|joined| joined.node.borrow().next_timeout());
+        due.into_iter().chain(self.distribution.as_ref().and_then(|distribution| distribution.retry_at)).min()
     }
 
-    pub(super) fn is_distribution(&self, socket: usize) -> bool {
-        self.place().is_some_and(|place| place.socket == socket)
+    pub(super) fn is_distribution_socket(&self, socket: usize) -> bool {
+        self.joined().is_some_and(|joined| joined.socket == socket)
     }
 
     /// Receives pending datagrams.
     pub(super) fn receive_distribution_datagrams(&mut self) {
         let mut bytes = [0; LARGEST + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
-            let Some((socket, domain)) = self.place().map(|place| (place.socket, place.domain)) else {
+            let Some((socket, domain)) = self.joined().map(|joined| (joined.socket, joined.domain)) else {
                 return;
             };
             let Some((size, from)) = self.reactor.receive_datagram(socket, &mut bytes) else { return };
             match distribution::read(domain, &bytes[..size]) {
                 Ok((_, messages)) => {
-                    self.distribute(DistributionInput::Received { from, messages: &messages });
+                    self.handle_distribution(DistributionInput::Received { from, messages: &messages });
                 }
                 Err(why) => {
                     self.core.counters().distribution_dropped += 1;
@@ -200,30 +200,30 @@
                 }
             }
         }
-        if let Some(place) = self.place() {
-            self.reactor.resume_receiving(place.socket);
+        if let Some(joined) = self.joined() {
+            self.reactor.resume_receiving(joined.socket);
         }
     }
 
     /// The publish lease is held, held for longer, or held no longer.
-    pub(super) fn lease_distribution(&mut self, grant: Option<LeaseGrant>) {
+    pub(super) fn set_publish_lease(&mut self, grant: Option<LeaseGrant>) {
         let Some(publisher) = self.publisher() else { return };
         publisher.lease(grant.map(|grant| grant.fence));
-        self.distribute(DistributionInput::Lease(grant));
+        self.handle_distribution(DistributionInput::Lease(grant));
     }
 
     /// Passes an input to the node, and carries out its outputs.
-    pub(super) fn distribute(&mut self, input: DistributionInput) {
+    pub(super) fn handle_distribution(&mut self, input: DistributionInput) {
         let now = self.reactor.now();
-        let Some(place) = self.place() else { return };
+        let Some(joined) = self.joined() else { return };
         if matches!(input, DistributionInput::Timer)
-            && place.node.borrow().next_timeout().is_none_or(|at| at > now)
+            && joined.node.borrow().next_timeout().is_none_or(|at| at > now)
         {
             return;
         }
-        let (socket, domain, process) = (place.socket, place.domain, place.process);
-        let all = place.node.borrow_mut().handle(now, input);
-        for output in all {
+        let (socket, domain, process) = (joined.socket, joined.domain, joined.process);
+        let outputs = joined.node.borrow_mut().handle(now, input);
+        for output in outputs {
             match output {
                 DistributionOutput::Send(to, message) => {
                     let bytes = distribution::datagram(domain, process, &[message]);
@@ -231,7 +231,7 @@
                 }
                 DistributionOutput::Installed { version, changes } => self.install(now, version, &changes),
                 DistributionOutput::Refused { version, why } => {
-                    warn!(version = number(version), why, "distribution refused");
+                    warn!(version = version_text(version), why, "distribution refused");
                 }
                 DistributionOutput::Parent(parent) => {
                     info!(at = parent.map(tracing::field::display), "distribution parent");
@@ -239,7 +239,7 @@
                 DistributionOutput::Published { ticket, version } => {
                     if let Some(changes) = self.publisher().and_then(|publisher| publisher.published(ticket))
                     {
-                        info!(version = number(version), changes, "distribution published");
+                        info!(version = version_text(version), changes, "distribution published");
                     }
                 }
                 DistributionOutput::NotPublished { ticket, why } => {
@@ -258,10 +258,10 @@
     /// A version is in force in the domain. Only a subscriber does what it says: the others serve, if they serve
     /// requests at all, by their own file and discovery.
     fn install(&mut self, now: Timestamp, version: Version, changes: &[Change]) {
-        let Some(Distribution { place: Some(place), classes, .. }) = &mut self.distribution else { return };
-        let first = !std::mem::replace(&mut place.installed, true);
+        let Some(Distribution { joined: Some(joined), classes, .. }) = &mut self.distribution else { return };
+        let first = !std::mem::replace(&mut joined.installed, true);
         let start = Instant::now();
-        if place.role == Role::Subscriber {
+        if joined.role == Role::Subscriber {
             let classes = classes.borrow_mut().install(changes);
             match classes {
                 Ok(Some(config)) => self.use_classes(now, config),
@@ -271,11 +271,11 @@
             self.install_workers(now, first, changes);
         }
         let applied_us = start.elapsed().as_micros() as u64;
-        info!(version = number(version), changes = changes.len(), applied_us, "distribution installed");
+        info!(version = version_text(version), changes = changes.len(), applied_us, "distribution installed");
     }
 
     fn use_classes(&mut self, now: Timestamp, mut config: Config) {
-        self.keep_fixed(&mut config);
+        self.keep_restart_only_settings(&mut config);
         self.config = config;
         self.core.replace_site(now, self.config.site.clone());
     }
@@ -300,9 +300,9 @@
         // The first changes are the complete list, which replaces that of the file and of discovery.
         let kind = if first { ListKind::Full } else { ListKind::Delta };
         if first {
-            let fixed: BTreeSet<_> = self.fixed.iter().map(|member| member.worker).collect();
-            self.pool.retain(|worker| workers.contains_key(&worker.0) || fixed.contains(&worker));
-            self.starts.retain(|worker| workers.contains_key(&worker.0));
+            let checkers: BTreeSet<_> = self.checkers.iter().map(|member| member.worker).collect();
+            self.pool.retain(|worker| workers.contains_key(&worker.0) || checkers.contains(&worker));
+            self.start_times.retain(|worker| workers.contains_key(&worker.0));
         }
         let mut members: Vec<Member> = Vec::with_capacity(workers.len());
         for (id, record) in workers {
@@ -310,36 +310,38 @@
             match record {
                 Some(record) => {
                     let mut member = record.member(id);
-                    self.place_worker(now, &mut member, record.address);
+                    self.update_worker(now, &mut member, record.address);
                     members.push(member);
                 }
                 None => {
-                    self.starts.remove(worker);
+                    self.start_times.remove(worker);
                     self.pool.remove(worker);
                     members.push(Member { worker, state: State::Gone, ..Member::default() });
                 }
             }
         }
         if first {
-            members.extend(&self.fixed);
+            members.extend(&self.checkers);
         }
         if let Some(distribution) = &mut self.distribution {
-            distribution.lists = true;
+            distribution.provides_list = true;
         }
         self.core.members(now, kind, members);
     }
 
     /// Tells the core how old the list is that came from the domain, and the domain how old this publisher's own is.
-    pub(super) fn note_distributed_list(&mut self) {
+    pub(super) fn report_list_freshness(&mut self) {
         let now = self.reactor.now();
         let last_frame = self.received_events.borrow().last_frame;
-        let Some(Distribution { place: Some(place), lists, .. }) = &mut self.distribution else { return };
+        let Some(Distribution { joined: Some(joined), provides_list, .. }) = &mut self.distribution else {
+            return;
+        };
         if let Some(at) = last_frame {
-            place.node.borrow_mut().confirm_source(at);
+            joined.node.borrow_mut().confirm_source(at);
         }
-        let up_to_date_at = place.node.borrow().up_to_date_at();
-        if *lists && up_to_date_at > place.list_heard_at {
-            place.list_heard_at = up_to_date_at;
+        let up_to_date_at = joined.node.borrow().up_to_date_at();
+        if *provides_list && up_to_date_at > joined.list_confirmed_at {
+            joined.list_confirmed_at = up_to_date_at;
             if let Some(at) = up_to_date_at {
                 self.core.list_confirmed_by_domain(now, at);
             }
@@ -348,14 +350,14 @@
 
     /// Whether the list of workers is the domain's, so that nothing else counts for it.
     pub(super) fn list_is_distributed(&self) -> bool {
-        self.distribution.as_ref().is_some_and(|distribution| distribution.lists)
+        self.distribution.as_ref().is_some_and(|distribution| distribution.provides_list)
     }
 
     // ---- New files
 
     /// A configuration as a file says it, and the same as it is to be used: classes that came from the domain stay
     /// above the file's. A replica refuses a class that would not fit into a datagram.
-    pub(super) fn lay_over(&self, file: Config) -> Result<(Option<Config>, Config), String> {
+    pub(super) fn with_distributed_classes(&self, file: Config) -> Result<(Option<Config>, Config), String> {
         let Some(distribution) = &self.distribution else { return Ok((None, file)) };
         if self.operator.publishes() {
             for (key, value) in classes_of(&file) {
@@ -365,21 +367,21 @@
                 }
             }
         }
-        let alone = file.without_list();
-        let used = distribution.classes.borrow().laid_over(file)?;
-        Ok((Some(alone), used))
+        let without_list = file.without_list();
+        let used = distribution.classes.borrow().with_distributed(file)?;
+        Ok((Some(without_list), used))
     }
 
     /// The configuration in use is another one from now on: this is what its file says of it.
-    pub(super) fn laid(&mut self, file: Option<Config>, before: &Config) {
+    pub(super) fn configuration_replaced(&mut self, file: Option<Config>, before: &Config) {
         let (Some(distribution), Some(mut file)) = (&self.distribution, file) else { return };
-        self.keep_fixed(&mut file);
+        self.keep_restart_only_settings(&mut file);
         distribution.classes.borrow_mut().replace(file);
         let (old, new) = (classes_of(before), classes_of(&self.config));
-        let both = old.keys().chain(new.keys());
-        let differ: Vec<Key> = both.filter(|key| old.get(key) != new.get(key)).cloned().collect();
+        let all_keys = old.keys().chain(new.keys());
+        let changed: Vec<Key> = all_keys.filter(|key| old.get(key) != new.get(key)).cloned().collect();
         if let Some(publisher) = self.publisher() {
-            publisher.changed(differ);
+            publisher.mark_changed(changed);
         }
         self.publish();
     }
@@ -390,35 +392,37 @@
     pub(super) fn source_changed(&mut self, workers: Option<Vec<WorkerId>>) {
         let Some(publisher) = self.publisher() else { return };
         match workers {
-            Some(workers) => publisher.changed(workers.into_iter().map(|worker| Key::Worker(worker.0))),
-            None => publisher.replaced(),
+            Some(workers) => publisher.mark_changed(workers.into_iter().map(|worker| Key::Worker(worker.0))),
+            None => publisher.mark_all_changed(),
         }
         self.publish();
     }
 
     /// Publishes what waits, if this process may now. One ticket at a time: the next goes when it is committed.
     fn publish(&mut self) {
-        let Some(place) = self.place() else { return };
-        let Some(publisher) = place.publisher.as_ref().filter(|publisher| publisher.waits()) else { return };
-        let node = place.node.clone();
-        let serves = node.borrow().publishing_fence(self.reactor.now());
-        if publisher.fence.is_none() || serves != publisher.fence {
+        let Some(joined) = self.joined() else { return };
+        let Some(publisher) = joined.publisher.as_ref().filter(|publisher| publisher.has_work()) else {
+            return;
+        };
+        let node = joined.node.clone();
+        let publishing_fence = node.borrow().publishing_fence(self.reactor.now());
+        if publisher.fence.is_none() || publishing_fence != publisher.fence {
             return;
         }
-        let held_back = self.held_back(&node.borrow());
+        let pause_reason = self.pause_reason(&node.borrow());
         let Some(publisher) = self.publisher() else { return };
-        if std::mem::replace(&mut publisher.held_back, held_back) != held_back
-            && let Some(why) = held_back
+        if std::mem::replace(&mut publisher.pause_reason, pause_reason) != pause_reason
+            && let Some(why) = pause_reason
         {
             warn!(why, "distribution paused");
         }
-        if held_back.is_some() {
+        if pause_reason.is_some() {
             return;
         }
         loop {
             let Some(publisher) = self.publisher() else { return };
             match publisher.next() {
-                Next::Rest => return,
+                Next::Nothing => return,
                 Next::CompareAll => {
                     let changes = self.compare_all(&node.borrow());
                     if let Some(publisher) = self.publisher() {
@@ -432,19 +436,19 @@
                     }
                 }
                 Next::Publish(ticket, changes) => {
-                    return self.distribute(DistributionInput::Publish { ticket, changes });
+                    return self.handle_distribution(DistributionInput::Publish { ticket, changes });
                 }
             }
         }
     }
 
     /// Why the own source is not to be published: one that was just started may not know of any worker yet.
-    fn held_back(&self, node: &DistributionNode) -> Option<&'static str> {
+    fn pause_reason(&self, node: &DistributionNode) -> Option<&'static str> {
         if self.config.discovery.is_some() && !self.received_events.borrow().received_any {
             return Some("the bus was not heard yet");
         }
-        let none = self.core.list().next().is_none();
-        (none && node.records().any(|(key, _)| matches!(key, Key::Worker(_))))
+        let list_is_empty = self.core.list().next().is_none();
+        (list_is_empty && node.records().any(|(key, _)| matches!(key, Key::Worker(_))))
             .then_some("the own list is empty")
     }
 
@@ -469,7 +473,7 @@
 
     /// The record of a line of the own list; none for a checker of this host.
     fn worker_record(&self, member: &Member) -> Option<(Key, Value)> {
-        let reported = Member { started: self.starts.reported(member.worker), ..*member };
+        let reported = Member { started: self.start_times.reported(member.worker), ..*member };
         let record = WorkerRecord::of(&reported, self.pool.address(member.worker)?)?;
         Some((Key::Worker(member.worker.0), Value::Worker(record)))
     }
--- a/src/daemon/distribution/classes.rs
+++ b/src/daemon/distribution/classes.rs
@@ -14,22 +14,22 @@
     file: Config,
     distributed: ByName,
     /// Nothing has come since this process took its place: what comes next stands for all of what came before.
-    fresh: bool,
+    awaiting_snapshot: bool,
 }
 
 impl Classes {
     /// Of a process to which nothing has come.
     pub(super) fn new(config: &Config) -> Classes {
-        Classes { file: config.without_list(), distributed: ByName::new(), fresh: true }
+        Classes { file: config.without_list(), distributed: ByName::new(), awaiting_snapshot: true }
     }
 
     /// This process takes its place in the domain.
-    pub(super) fn begin(&mut self) {
-        self.fresh = true;
+    pub(super) fn expect_snapshot(&mut self) {
+        self.awaiting_snapshot = true;
     }
 
     /// A configuration as a file says it, with the classes that came laid over.
-    pub(super) fn laid_over(&self, file: Config) -> Result<Config, String> {
+    pub(super) fn with_distributed(&self, file: Config) -> Result<Config, String> {
         if self.distributed.is_empty() {
             return Ok(file);
         }
@@ -43,12 +43,12 @@
 
     /// What the changes make of the classes; none where they change none. They are checked against the file, and not
     /// against what came before: whether a version is taken must not depend on which versions a process has seen.
-    fn after(&self, changes: &[Change]) -> Result<Option<(ByName, Config)>, String> {
-        let mut distributed = if self.fresh { ByName::new() } else { self.distributed.clone() };
-        let mut touched = self.fresh && !self.distributed.is_empty();
+    fn with_changes(&self, changes: &[Change]) -> Result<Option<(ByName, Config)>, String> {
+        let mut distributed = if self.awaiting_snapshot { ByName::new() } else { self.distributed.clone() };
+        let mut changed = self.awaiting_snapshot && !self.distributed.is_empty();
         for change in changes {
             let Key::Class(name) = &change.key else { continue };
-            touched = true;
+            changed = true;
             match &change.value {
                 Some(Value::Class(text)) => {
                     distributed.insert(name.clone(), read_class(name, text)?);
@@ -58,7 +58,7 @@
                 }
             }
         }
-        if !touched {
+        if !changed {
             return Ok(None);
         }
         let config = self.file.clone().with_classes(&distributed)?;
@@ -68,9 +68,9 @@
 
     /// Takes the changes in; the configuration that is to be in force then, where they change a class.
     pub(super) fn install(&mut self, changes: &[Change]) -> Result<Option<Config>, String> {
-        let after = self.after(changes)?;
-        self.fresh = false;
-        Ok(after.map(|(distributed, config)| {
+        let new = self.with_changes(changes)?;
+        self.awaiting_snapshot = false;
+        Ok(new.map(|(distributed, config)| {
             self.distributed = distributed;
             config
         }))
@@ -91,7 +91,7 @@
 
 impl ChangeCheck for ClassCheck {
     fn check(&self, changes: &[Change]) -> Result<(), String> {
-        self.0.borrow().after(changes).map(drop)
+        self.0.borrow().with_changes(changes).map(drop)
     }
 }
 
--- a/src/daemon/distribution/classes/tests.rs
+++ b/src/daemon/distribution/classes/tests.rs
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn what_came_lies_above_the_file_until_it_is_removed() {
+fn distributed_classes_override_the_file_until_removed() {
     let mut classes = Classes::new(&file(&[class("a", 1), class("b", 2)]));
     let config = classes.install(&[set("b", &class("b", 20)), set("c", &class("c", 30))]).unwrap().unwrap();
     assert_eq!(deadlines(&config), named(&[("a", 1), ("b", 20), ("c", 30)]));
     // A new file does not undo it.
     let new = file(&[class("a", 5), class("b", 6)]);
-    let used = classes.laid_over(new.clone()).unwrap();
+    let used = classes.with_distributed(new.clone()).unwrap();
     assert_eq!(deadlines(&used), named(&[("a", 5), ("b", 20), ("c", 30)]));
     classes.replace(new);
     // Changes of workers alone touch no class.
@@ -49,7 +49,7 @@
 
 /// Each is refused whole, with its reason, and nothing that came before is lost.
 #[test]
-fn odd_classes_are_refused_whole() {
+fn changes_with_an_invalid_class_are_rejected_as_a_whole() {
     let mut classes = Classes::new(&file(&[class("a", 1), class("b", 2)]));
     classes.install(&[set("b", &class("b", 20))]).unwrap();
     let mut toneless = class("c", 30);
@@ -71,19 +71,19 @@
     }
     let cut = Change { value: Some(Value::Class("{\"name\":".to_owned())), ..set("c", &json!({})) };
     assert!(classes.install(&[cut]).is_err());
-    let used = classes.laid_over(classes.file.clone()).unwrap();
+    let used = classes.with_distributed(classes.file.clone()).unwrap();
     assert_eq!(deadlines(&used), named(&[("a", 1), ("b", 20)]), "the last good state stays");
 }
 
 /// A process that takes its place anew is told all: what came before and does not come again is gone.
 #[test]
-fn what_comes_first_stands_for_all_that_came_before() {
+fn the_first_changes_after_joining_replace_all_earlier_ones() {
     let mut classes = Classes::new(&file(&[class("a", 1)]));
     classes.install(&[set("b", &class("b", 20)), set("c", &class("c", 30))]).unwrap();
-    classes.begin();
+    classes.expect_snapshot();
     let config = classes.install(&[set("c", &class("c", 31))]).unwrap().unwrap();
     assert_eq!(deadlines(&config), named(&[("a", 1), ("c", 31)]));
-    classes.begin();
+    classes.expect_snapshot();
     let config = classes.install(&[]).unwrap().unwrap();
     assert_eq!(deadlines(&config), named(&[("a", 1)]));
 }
--- a/src/daemon/distribution/publisher/tests.rs
+++ b/src/daemon/distribution/publisher/tests.rs
@@ -23,7 +23,7 @@
 }
 
 /// What is committed, changed so, is the source.
-fn changed(committed: &BTreeMap<Key, Value>, changes: &[Change]) -> BTreeMap<Key, Value> {
+fn apply(committed: &BTreeMap<Key, Value>, changes: &[Change]) -> BTreeMap<Key, Value> {
     let mut all: BTreeMap<(Topic, Key), Value> =
         committed.iter().map(|(key, value)| ((topic(value), key.clone()), value.clone())).collect();
     for change in changes {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn only_what_differs_is_published_and_a_worker_that_moved_stands_once() {
+fn only_differences_are_published_and_a_moved_worker_has_one_record() {
     let name = |name: &str| Key::Class(name.to_owned());
     let committed = records(&[
         (Key::Complete, Value::Complete),
@@ -63,23 +63,23 @@
     ]);
     let changes = difference(source.clone(), committed.iter());
     assert_eq!(changes.len(), 8, "b, gone, new, 2, 3 twice, 4, 5: {changes:?}");
-    let kind = |change: &Change| matches!(change.key, Key::Worker(_));
-    let first = changes.iter().position(kind).unwrap();
-    assert_eq!(first, 2, "classes that stand come first");
+    let is_worker = |change: &Change| matches!(change.key, Key::Worker(_));
+    let first_worker = changes.iter().position(is_worker).unwrap();
+    assert_eq!(first_worker, 2, "classes that stand come first");
     let moved: Vec<_> = changes.iter().filter(|change| change.key == Key::Worker(3)).collect();
     assert!(moved[0].value.is_none() && moved[1].value.is_some());
-    let mut whole = source.clone();
-    whole.insert(Key::Complete, Value::Complete);
-    assert_eq!(changed(&committed, &changes), whole);
-    assert!(difference(source, whole.iter()).is_empty());
+    let mut expected = source.clone();
+    expected.insert(Key::Complete, Value::Complete);
+    assert_eq!(apply(&committed, &changes), expected);
+    assert!(difference(source, expected.iter()).is_empty());
 }
 
 /// What stands and what waits, from the lease on: all is compared until nothing differs, then only what changes.
 #[test]
-fn one_ticket_at_a_time_and_all_is_compared_until_nothing_differs() {
+fn one_ticket_is_in_flight_and_everything_is_compared_until_equal() {
     let mut publisher = Publisher::default();
-    publisher.changed([Key::Worker(9)]);
-    assert!(!publisher.waits(), "without the lease nothing is kept");
+    publisher.mark_changed([Key::Worker(9)]);
+    assert!(!publisher.has_work(), "without the lease nothing is kept");
     publisher.lease(Some(7));
     assert_eq!(publisher.next(), Next::CompareAll);
     let changes: Vec<Change> = (0..300)
@@ -91,29 +91,32 @@
         .collect();
     publisher.compared(true, changes.clone());
     let Next::Publish(ticket, first) = publisher.next() else { panic!("the first part") };
-    assert_eq!((first.len(), publisher.next(), publisher.waits()), (CHUNK, Next::Rest, false));
+    assert_eq!(
+        (first.len(), publisher.next(), publisher.has_work()),
+        (MAX_CHANGES_PER_TICKET, Next::Nothing, false)
+    );
     publisher.not_published(ticket, &PublishError::TooMany);
     let Next::Publish(again, same) = publisher.next() else { panic!("the same again") };
     assert!(again > ticket && same == first);
     assert_eq!(publisher.published(ticket), None, "an old ticket");
-    assert_eq!(publisher.published(again), Some(CHUNK));
+    assert_eq!(publisher.published(again), Some(MAX_CHANGES_PER_TICKET));
     let Next::Publish(last, _) = publisher.next() else { panic!("the rest") };
     publisher.published(last);
     assert_eq!(publisher.next(), Next::CompareAll, "what it was compared with may have been behind");
     publisher.compared(true, vec![]);
-    assert_eq!(publisher.next(), Next::Rest);
-    publisher.changed([Key::Worker(4)]);
+    assert_eq!(publisher.next(), Next::Nothing);
+    publisher.mark_changed([Key::Worker(4)]);
     assert_eq!(publisher.next(), Next::Compare(BTreeSet::from([Key::Worker(4)])));
     publisher.compared(false, changes[4..5].to_vec());
     let Next::Publish(ticket, _) = publisher.next() else { panic!("the change") };
     publisher.not_published(ticket, &PublishError::Superseded);
     assert_eq!(publisher.next(), Next::CompareAll, "it is not known what stands");
     publisher.lease(None);
-    assert!(!publisher.waits());
+    assert!(!publisher.has_work());
 }
 
 #[test]
-fn what_is_refused_is_not_tried_again_and_the_first_state_is_not_whole_without_it() {
+fn a_rejected_change_is_not_retried_and_holds_back_the_complete_mark() {
     let mut publisher = Publisher::default();
     publisher.lease(Some(7));
     let class = Change { topic: Topic::SETTINGS, key: Key::Class("a".to_owned()), value: Some(class("{")) };
@@ -122,5 +125,5 @@
     let Next::Publish(ticket, changes) = publisher.next() else { panic!("the class") };
     assert_eq!(changes, [class]);
     publisher.not_published(ticket, &PublishError::Invalid("no class".to_owned()));
-    assert_eq!(publisher.next(), Next::Rest);
+    assert_eq!(publisher.next(), Next::Nothing);
 }
--- a/src/daemon/fleet.rs
+++ b/src/daemon/fleet.rs
@@ -92,36 +92,36 @@
         let Some(member) = &self.fleet else { return };
         self.reactor.fleet = Some(member.node.clone());
         self.core.join_fleet(self.reactor.now(), member.parts, member.demand_at.is_some());
-        self.fleet(FleetInput::Timer);
+        self.handle_fleet(FleetInput::Timer);
     }
 
     /// Leaves or rejoins the fleet at an upgrade: the member is the process that accepts clients. An old process leaves
     /// when it closes its listener, and rejoins if the new process ends first.
-    pub(super) fn give_fleet(&mut self, open: bool) {
+    pub(super) fn join_or_leave_fleet(&mut self, open: bool) {
         if self.operator.fleet.is_none() {
             return;
         }
         if !open && let Some(member) = &self.fleet {
             let socket = member.socket;
-            self.fleet(FleetInput::HandOver);
+            self.handle_fleet(FleetInput::HandOver);
             self.reactor.close_datagram_socket(socket);
             self.fleet = None;
             self.reactor.fleet = None;
-            self.fleet_again = None;
+            self.fleet_retry_at = None;
         }
         if open {
-            self.fleet_again = Some(self.reactor.now());
+            self.fleet_retry_at = Some(self.reactor.now());
         }
     }
 
     /// Binds the fleet's address and joins, or tries again later while another process has the address.
-    pub(super) fn take_fleet(&mut self) {
+    pub(super) fn retry_join_fleet(&mut self) {
         let now = self.reactor.now();
         let Some(setting) = self.operator.fleet.clone().filter(|_| self.fleet.is_none()) else { return };
-        if self.fleet_again.is_none_or(|at| at > now) || self.ending.is_some() {
+        if self.fleet_retry_at.is_none_or(|at| at > now) || self.shutdown.is_some() {
             return;
         }
-        self.fleet_again = None;
+        self.fleet_retry_at = None;
         let publishes = self.operator.publishes();
         match Member::new(&setting, publishes, &self.config, &mut self.reactor) {
             Ok(member) => {
@@ -129,7 +129,7 @@
                 self.join_fleet();
             }
             Err(e) if e.kind() == io::ErrorKind::AddrInUse || is_transient(&e) => {
-                self.fleet_again = Some(now + BIND_RETRY_INTERVAL);
+                self.fleet_retry_at = Some(now + BIND_RETRY_INTERVAL);
             }
             Err(why) => warn!(%why, "upgrade no fleet"),
         }
@@ -139,7 +139,7 @@
     pub(super) fn fleet_timeout(&self) -> Option<Timestamp> {
         let due = self.fleet.as_ref().and_then(|member| member.node.borrow().next_timeout());
         let demand = self.fleet.as_ref().and_then(|member| member.demand_at);
-        due.into_iter().chain(demand).chain(self.fleet_again).min()
+        due.into_iter().chain(demand).chain(self.fleet_retry_at).min()
     }
 
     /// Publishes the recent demand at this process, when it is due.
@@ -153,10 +153,10 @@
         }
         *demand_at = now + overload::TICK_INTERVAL;
         let demand = self.core.demand(now);
-        self.fleet(FleetInput::Demand(demand));
+        self.handle_fleet(FleetInput::Demand(demand));
     }
 
-    pub(super) fn is_fleet(&self, socket: usize) -> bool {
+    pub(super) fn is_fleet_socket(&self, socket: usize) -> bool {
         self.fleet.as_ref().is_some_and(|member| member.socket == socket)
     }
 
@@ -167,7 +167,7 @@
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some(member) = &self.fleet else { return };
             let Some((size, from)) = self.reactor.receive_datagram(member.socket, &mut bytes) else { return };
-            self.fleet(FleetInput::Datagram(&bytes[..size], from));
+            self.handle_fleet(FleetInput::Datagram(&bytes[..size], from));
         }
         if let Some(member) = &self.fleet {
             self.reactor.resume_receiving(member.socket);
@@ -175,7 +175,7 @@
     }
 
     /// Passes an input to the node, and carries out its outputs.
-    pub(super) fn fleet(&mut self, input: FleetInput) {
+    pub(super) fn handle_fleet(&mut self, input: FleetInput) {
         let now = self.reactor.now();
         let Some(member) = &self.fleet else { return };
         if matches!(input, FleetInput::Timer) && member.node.borrow().next_timeout().is_none_or(|at| at > now)
@@ -194,16 +194,16 @@
                     self.log_lease(task, part, grant);
                     self.core.set_lease(now, task, part, grant);
                 }
-                other => self.carry_out_fleet(now, other),
+                other => self.execute_fleet_output(now, other),
             }
         }
         if let Some(grant) = publish_lease {
-            self.lease_distribution(grant);
+            self.set_publish_lease(grant);
         }
     }
 
     /// Carries out an output of the node other than a change of leases.
-    fn carry_out_fleet(&mut self, now: Timestamp, output: FleetOutput) {
+    fn execute_fleet_output(&mut self, now: Timestamp, output: FleetOutput) {
         let Some(member) = &mut self.fleet else { return };
         match output {
             FleetOutput::Send(to, bytes) => self.reactor.send_datagram(member.socket, &bytes, to),
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -40,7 +40,7 @@
 }
 
 impl Daemon {
-    pub(super) fn vrrp(&mut self, event: Event) {
+    pub(super) fn handle_vrrp(&mut self, event: Event) {
         let Some(router) = &mut self.router else { return };
         let (now, before) = (self.reactor.now(), router.machine.state());
         if let Some(advertise) = router.machine.handle(now, event) {
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn receive_datagrams(&mut self, socket: usize) {
+    pub(super) fn receive_vrrp_datagrams(&mut self, socket: usize) {
         let mut bytes = [0; LARGEST + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some((size, from)) = self.reactor.receive_datagram(socket, &mut bytes) else { return };
@@ -69,7 +69,7 @@
             match read {
                 Ok(message) if message.vrid == router.setting.vrid => {
                     let (priority, interval) = (message.priority, message.span());
-                    self.vrrp(Event::Advertisement { priority, interval, from });
+                    self.handle_vrrp(Event::Advertisement { priority, interval, from });
                 }
                 Ok(_) => self.core.counters().vrrp_dropped += 1,
                 Err(why) => {
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -15,15 +15,15 @@
 /// SIGKILL may come a longest deadline after this, and what it finds unanswered is lost.
 const REJECT_AFTER: Duration = Duration::millis(700);
 /// How long answers may still wait to be read after [`DRAIN_TIME`]: SIGKILL comes 3.7 s after SIGTERM, or later.
-const LAST_WRITE: Duration = Duration::millis(2_200);
+const UNREAD_ANSWER_TIMEOUT: Duration = Duration::millis(2_200);
 /// So long after SIGTERM a request half read is still waited for, where a younger process takes the clients.
-const LAST_READ: Duration = Duration::millis(3_000);
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::millis(3_000);
 /// SIGKILL comes so long after the longest deadline at the earliest.
 const KILL_AFTER_DEADLINE: Duration = Duration::millis(700);
 /// The longest deadline that counts for that.
 const MAX_KILL_DEADLINE: Duration = Duration::millis(3_000);
 /// The process is to have ended so long before SIGKILL.
-const KILL_LEAD: Duration = Duration::millis(250);
+const KILL_MARGIN: Duration = Duration::millis(250);
 
 /// The times of one shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,13 +40,13 @@
 impl ShutdownTimes {
     /// Those of a shutdown that begins now, where requests have at most this deadline.
     pub(super) fn new(now: Timestamp, longest_deadline: Duration) -> ShutdownTimes {
-        let before_kill = longest_deadline.min(MAX_KILL_DEADLINE).0 + KILL_AFTER_DEADLINE.0 - KILL_LEAD.0;
+        let before_kill = longest_deadline.min(MAX_KILL_DEADLINE).0 + KILL_AFTER_DEADLINE.0 - KILL_MARGIN.0;
         let drain_time = DRAIN_TIME.min(Duration(before_kill)).max(MIN_DRAIN_TIME);
         ShutdownTimes {
             since: now,
             reject_at: now + REJECT_AFTER,
             end_at: now + drain_time,
-            give_up_at: now + DRAIN_TIME + LAST_WRITE,
+            give_up_at: now + DRAIN_TIME + UNREAD_ANSWER_TIMEOUT,
         }
     }
 
@@ -60,23 +60,23 @@
 
 impl Daemon {
     /// SIGTERM: no longer ready, clients are asked to leave, but what still comes is taken and answered.
-    pub(super) fn begin_end(&mut self) {
-        if self.ending.is_some() {
+    pub(super) fn begin_shutdown(&mut self) {
+        if self.shutdown.is_some() {
             return;
         }
         info!(name = %self.config.name, outstanding = self.core.outstanding(), "ending");
         let deadlines = self.config.site.settings.classes.iter().map(|class| class.deadline);
         let longest_deadline = deadlines.max().unwrap_or(MAX_KILL_DEADLINE);
-        self.ending = Some(ShutdownTimes::new(self.reactor.now(), longest_deadline));
+        self.shutdown = Some(ShutdownTimes::new(self.reactor.now(), longest_deadline));
         self.reactor.ready = false;
-        self.upgrade(HandoverInput::ShutdownRequested);
-        self.vrrp(Event::Shutdown);
-        self.fleet(FleetInput::Leave);
-        self.give_distribution(false);
-        self.leave_all();
+        self.handle_handover(HandoverInput::ShutdownRequested);
+        self.handle_vrrp(Event::Shutdown);
+        self.handle_fleet(FleetInput::Leave);
+        self.join_or_leave_distribution(false);
+        self.send_leave_to_all();
     }
 
-    fn leave_all(&mut self) {
+    fn send_leave_to_all(&mut self) {
         for id in self.reactor.ids() {
             self.reactor.with_connection(id, &mut self.core, |connection, link, context| {
                 connection.send_leave(link, context)
@@ -85,36 +85,38 @@
     }
 
     pub(super) fn next_shutdown_step(&self) -> Option<Timestamp> {
-        self.ending?.next(self.reactor.now())
+        self.shutdown?.next(self.reactor.now())
     }
 
     /// Whether what is left to be read and written is waited for no longer.
-    pub(super) fn overdue(&self) -> bool {
-        self.ending.is_some_and(|times| self.reactor.now() >= times.give_up_at)
+    pub(super) fn shutdown_overdue(&self) -> bool {
+        self.shutdown.is_some_and(|times| self.reactor.now() >= times.give_up_at)
     }
 
     /// Whether a younger process takes the clients.
-    fn yielded(&self) -> bool {
+    fn newer_process_accepts(&self) -> bool {
         self.upgrade.as_ref().is_some_and(|upgrade| upgrade.machine.yielded())
     }
 
     /// Refuses new requests once it is time for that.
     pub(super) fn advance_shutdown(&mut self) {
-        let Some(times) = self.ending else { return };
+        let Some(times) = self.shutdown else { return };
         if self.reactor.now() >= times.reject_at && !self.notified_late_clients {
             self.notified_late_clients = true;
-            self.leave_all();
+            self.send_leave_to_all();
         }
-        self.core.rejecting_new = self.notified_late_clients && !self.yielded();
+        self.core.rejecting_new = self.notified_late_clients && !self.newer_process_accepts();
     }
 
     /// Whether nothing is outstanding any more, so that the process may end.
-    pub(super) fn ended(&self) -> bool {
-        let Some(times) = self.ending else { return false };
+    pub(super) fn may_exit(&self) -> bool {
+        let Some(times) = self.shutdown else { return false };
         let now = self.reactor.now();
-        let written = !self.reactor.has_unwritten_output() || self.overdue();
-        let reading = self.yielded() && self.reactor.may_receive_request() && now < times.since + LAST_READ;
-        let accepted = self.accept_again.is_empty() || self.overdue();
+        let written = !self.reactor.has_unwritten_output() || self.shutdown_overdue();
+        let reading = self.newer_process_accepts()
+            && self.reactor.may_receive_request()
+            && now < times.since + PARTIAL_REQUEST_TIMEOUT;
+        let accepted = self.pending_accepts.is_empty() || self.shutdown_overdue();
         now >= times.end_at && self.core.outstanding() == 0 && written && accepted && !reading
     }
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -11,11 +11,11 @@
 use std::rc::Rc;
 
 /// Length of an event's number and kind, with which each frame starts.
-const FRAME_HEADER: usize = 9;
+const FRAME_HEADER_BYTES: usize = 9;
 /// Length of a worker's record.
-const RECORD_LENGTH: usize = 27;
+const RECORD_BYTES: usize = 27;
 /// Longest frame accepted: some 38,000 workers.
-pub const MAX_FRAME_LENGTH: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 /// Without even an empty frame for this long discovery is taken to be dead; it sends one each second.
 pub const SILENCE_TIMEOUT: Duration = Duration::millis(2_500);
 /// A connection that is not up within this time is opened anew.
@@ -67,9 +67,9 @@
         };
         add(u64::from(self.kind == ListKind::Full));
         for Entry { member, address } in &self.entries {
-            let place =
+            let fields =
                 [member.worker.0, u64::from(address.port()), member.state as u64, u64::from(member.zone.0)];
-            place.into_iter().chain(member.started.map(|at| at.0)).for_each(&mut add);
+            fields.into_iter().chain(member.started.map(|at| at.0)).for_each(&mut add);
         }
         sum
     }
@@ -122,7 +122,7 @@
 pub fn read_frame(bytes: &[u8]) -> Result<Option<(Option<WatchEvent>, usize)>, DiscoveryError> {
     let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if !(FRAME_HEADER..=MAX_FRAME_LENGTH).contains(&length) {
+    if !(FRAME_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
         return Err(DiscoveryError::Length);
     }
     let Some(rest) = bytes.get(4..4 + length) else { return Ok(None) };
@@ -133,7 +133,7 @@
         2 => ListKind::Delta,
         _ => return Err(DiscoveryError::Kind),
     };
-    let (records, left) = rest[FRAME_HEADER..].as_chunks::<RECORD_LENGTH>();
+    let (records, left) = rest[FRAME_HEADER_BYTES..].as_chunks::<RECORD_BYTES>();
     if !left.is_empty() {
         return Err(DiscoveryError::RecordCutShort);
     }
@@ -141,7 +141,7 @@
     Ok(Some((Some(WatchEvent { offset, kind, entries }), 4 + length)))
 }
 
-fn read_record(record: &[u8; RECORD_LENGTH]) -> Result<Entry, DiscoveryError> {
+fn read_record(record: &[u8; RECORD_BYTES]) -> Result<Entry, DiscoveryError> {
     let u16_at = |at: usize| u16::from_be_bytes([record[at], record[at + 1]]);
     let u32_at = |at: usize| u32::from_be_bytes([record[at], record[at + 1], record[at + 2], record[at + 3]]);
     let state = match record[10] {
@@ -218,24 +218,24 @@
 /// A connection to discovery.
 pub struct DiscoveryConnection {
     received_events: Rc<RefCell<ReceivedEvents>>,
-    silent_at: Timestamp,
+    times_out_at: Timestamp,
 }
 
 impl DiscoveryConnection {
     /// A connection that is coming up at `now`.
     pub fn new(received_events: Rc<RefCell<ReceivedEvents>>, now: Timestamp) -> DiscoveryConnection {
-        DiscoveryConnection { received_events, silent_at: now + CONNECT_TIMEOUT }
+        DiscoveryConnection { received_events, times_out_at: now + CONNECT_TIMEOUT }
     }
 
     /// Takes in a frame. Its event counts only if it is later than all before it: after a new connection some come twice.
-    fn take_frame(
+    fn handle_frame(
         &mut self,
         event: Option<WatchEvent>,
         arrived: Timestamp,
         now: Timestamp,
     ) -> Result<(), DiscoveryError> {
         let mut received = self.received_events.borrow_mut();
-        self.silent_at = now + SILENCE_TIMEOUT;
+        self.times_out_at = now + SILENCE_TIMEOUT;
         received.note_frame(arrived, now);
         let Some(event) = event.filter(|event| event.offset > received.offset) else { return Ok(()) };
         // Changes lie between: they are asked for once more, on a new connection.
@@ -262,7 +262,7 @@
     }
 
     fn opened(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        self.silent_at = context.now + SILENCE_TIMEOUT;
+        self.times_out_at = context.now + SILENCE_TIMEOUT;
         link.enqueue(&self.received_events.borrow().offset.to_be_bytes());
         context.core.discovery_resubscribed(context.now);
         ControlFlow::Continue
@@ -276,7 +276,7 @@
                 Ok(Some((event, size))) => {
                     read += size;
                     let arrived = link.arrival_time(link.input.len() - read);
-                    if let Err(error) = self.take_frame(event, arrived, context.now) {
+                    if let Err(error) = self.handle_frame(event, arrived, context.now) {
                         return close_unreadable(error, link, context);
                     }
                 }
@@ -291,7 +291,7 @@
     }
 
     fn on_timeout(&mut self, link: &mut Link, context: &mut Context) -> ControlFlow {
-        if self.silent_at <= context.now {
+        if self.times_out_at <= context.now {
             tracing::warn!("discovery silent");
             link.set_close_cause(if link.is_connected() {
                 CloseCause::Silent
@@ -304,7 +304,7 @@
     }
 
     fn deadline(&self) -> Option<Timestamp> {
-        Some(self.silent_at)
+        Some(self.times_out_at)
     }
 
     fn closed(&mut self, link: &Link, context: &mut Context) {
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -16,7 +16,7 @@
 
     /// Lists of any length, damaged anywhere: read whole, waited for, or told; never more than was there.
     #[test]
-    fn damaged_lists_are_told(count in 0usize..400, at in any::<usize>(), byte in any::<u8>()) {
+    fn damaged_lists_are_read_or_rejected(count in 0usize..400, at in any::<usize>(), byte in any::<u8>()) {
         let records: Vec<u8> = (0..count).flat_map(|n| record((n % 3) as u8)).collect();
         let mut bytes = frame(1, &records);
         let at = at % bytes.len();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn frames_are_read() {
+fn frames_are_decoded() {
     let bytes = frame(2, &record(1));
     for cut in 0..bytes.len() {
         assert!(matches!(read_frame(&bytes[..cut]), Ok(None)), "{cut}");
@@ -50,15 +50,16 @@
     assert_eq!((entry.member, entry.address), (member, "10.1.0.9:10080".parse().unwrap()));
     let empty = frame(0, &[]);
     assert!(matches!(read_frame(&empty), Ok(Some((None, 13)))));
-    let odd = [frame(3, &[]), frame(1, &record(3)), frame(1, &record(0)[..26]), vec![0; 8], vec![255; 8]];
-    for bytes in odd {
+    let malformed =
+        [frame(3, &[]), frame(1, &record(3)), frame(1, &record(0)[..26]), vec![0; 8], vec![255; 8]];
+    for bytes in malformed {
         assert!(read_frame(&bytes).is_err(), "{bytes:?}");
     }
 }
 
 /// A fleet that lost discovery at one moment does not come back at one, and nobody is without it for long.
 #[test]
-fn dials_are_spread_out() {
+fn reconnects_are_spread_out() {
     use rand_core::SeedableRng;
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
     assert_eq!(backoff(0, &mut rng), Duration(0), "at the start at once");
@@ -76,7 +77,7 @@
 
 /// A connection that never comes up is given up on, and so is one that comes up and says nothing, or half a frame.
 #[test]
-fn a_silent_bus_is_given_up_on() {
+fn a_connection_that_does_not_come_up_times_out() {
     let now = Timestamp(1_000_000_000_000);
     let connection = DiscoveryConnection::new(Rc::default(), now);
     assert_eq!(connection.deadline(), Some(now + CONNECT_TIMEOUT));
@@ -84,7 +85,7 @@
 
 /// A frame that lay unread while the process stood still says nothing of the time after it came.
 #[test]
-fn a_frame_counts_from_when_it_came_however_late_it_is_read() {
+fn a_frame_read_late_counts_from_its_arrival() {
     use std::io::Write;
     let site = br#"{"fleetSize": 1, "index": 0, "classes": [], "bounds": {"mostTries": 1},
         "contract": {"coldFrom": 1, "coldNs": 1, "fallMultiple": 1, "fallNs": 1},
@@ -92,17 +93,17 @@
     let mut core = crate::core::Core::new(crate::settings::read_site(site).unwrap(), 1);
     let mut reactor = crate::net::Reactor::new(crate::net::SystemClock::new()).unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let near = reactor.connect(listener.local_addr().unwrap()).unwrap();
-    let (mut far, _) = listener.accept().unwrap();
+    let stream = reactor.connect(listener.local_addr().unwrap()).unwrap();
+    let (mut peer, _) = listener.accept().unwrap();
     let received = Rc::new(RefCell::new(ReceivedEvents::default()));
-    let limits = crate::net::BufferLimits { input: MAX_FRAME_LENGTH + 4, output: 4096 };
+    let limits = crate::net::BufferLimits { input: MAX_FRAME_BYTES + 4, output: 4096 };
     let connection = Box::new(DiscoveryConnection::new(received.clone(), reactor.now()));
-    reactor.add(near, connection, false, limits, &mut core).unwrap();
+    reactor.add(stream, connection, false, limits, &mut core).unwrap();
     for _ in 0..3 {
         reactor.poll_once(Some(reactor.after(Duration::millis(20))), &mut core).unwrap();
     }
     let empty = [&9u32.to_be_bytes()[..], &[0; 9]].concat();
-    far.write_all(&empty).unwrap();
+    peer.write_all(&empty).unwrap();
     let written = reactor.now();
     std::thread::sleep(std::time::Duration::from_millis(150));
     while received.borrow().last_frame.is_none() {
--- a/src/log.rs
+++ b/src/log.rs
@@ -36,19 +36,19 @@
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut line = Line { what: String::new(), fields: String::new() };
+        let mut line = Line { message: String::new(), fields: String::new() };
         event.record(&mut line);
-        writeln!(out, "mintgate: {}{}", line.what, line.fields)
+        writeln!(out, "mintgate: {}{}", line.message, line.fields)
     }
 }
 
 struct Line {
-    what: String,
+    message: String,
     fields: String,
 }
 
 impl Line {
-    fn put(&mut self, name: &str, text: &str) {
+    fn add_field(&mut self, name: &str, text: &str) {
         let _ = if text.contains([' ', '"']) || text.is_empty() {
             write!(self.fields, " {name}=\"{}\"", text.replace('"', "'"))
         } else {
@@ -59,13 +59,13 @@
 
 impl Visit for Line {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.put(field.name(), value);
+        self.add_field(field.name(), value);
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
-            "message" => drop(write!(self.what, "{value:?}")),
-            name => self.put(name, &format!("{value:?}")),
+            "message" => drop(write!(self.message, "{value:?}")),
+            name => self.add_field(name, &format!("{value:?}")),
         }
     }
 }
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -3,9 +3,9 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct Captured(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Kept {
+impl io::Write for Captured {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -17,16 +17,17 @@
 
 /// Operators' tools read these lines: words as they are, texts in quotes.
 #[test]
-fn lines_are_written_as_the_on_call_page_shows_them() {
-    let kept = Kept::default();
-    let writer = kept.clone();
-    let lines = tracing_subscriber::fmt().event_format(Lines).with_writer(move || writer.clone()).finish();
-    tracing::subscriber::with_default(lines, || {
+fn lines_have_the_documented_format() {
+    let captured = Captured::default();
+    let writer = captured.clone();
+    let subscriber =
+        tracing_subscriber::fmt().event_format(Lines).with_writer(move || writer.clone()).finish();
+    tracing::subscriber::with_default(subscriber, || {
         let none: Option<u64> = None;
         tracing::info!(name = "n0", offset = 7, mgmt = none, at = %"127.0.0.1:9", "serving");
         tracing::warn!(why = "not \"from\" a peer", state = ?Level::INFO, "vrrp dropped");
     });
-    let text = String::from_utf8(kept.0.lock().unwrap().clone()).unwrap();
+    let text = String::from_utf8(captured.0.lock().unwrap().clone()).unwrap();
     let expected = "mintgate: serving name=n0 offset=7 at=127.0.0.1:9\n\
                     mintgate: vrrp dropped why=\"not 'from' a peer\" state=Level(Info)\n";
     assert_eq!(text, expected);
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,7 +26,7 @@
     #[arg(long)]
     trace: bool,
     #[command(subcommand)]
-    command: Option<What>,
+    command: Option<Command>,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -38,18 +38,18 @@
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Reads the configuration and the operator's file, and says whether it would start with them.
     Check,
     /// Asks a scheduler that runs about its fleet.
     Fleet {
         #[command(subcommand)]
-        what: Fleet,
+        command: FleetCommand,
     },
 }
 
 #[derive(Subcommand)]
-enum Fleet {
+enum FleetCommand {
     /// Who is in the fleet, and who holds which task.
     Status {
         /// The scheduler's second address.
@@ -67,8 +67,8 @@
     log::start(form, arguments.trace);
     let done = match arguments.command {
         None => Sources::of_environment(arguments.operator).map_err(String::from).and_then(daemon::start),
-        Some(What::Check) => check(arguments.operator),
-        Some(What::Fleet { what: Fleet::Status { at } }) => ask(at, "/api/fleet"),
+        Some(Command::Check) => check(arguments.operator),
+        Some(Command::Fleet { command: FleetCommand::Status { at } }) => query(at, "/api/fleet"),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -92,7 +92,7 @@
 }
 
 /// One request at a second address; its answer goes to standard output.
-fn ask(at: SocketAddr, path: &str) -> Result<(), String> {
+fn query(at: SocketAddr, path: &str) -> Result<(), String> {
     let limit = Duration::from_secs(2);
     let answer = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&at, limit)?;
--- a/src/start_times.rs
+++ b/src/start_times.rs
@@ -69,13 +69,13 @@
 impl StartTimes {
     /// The starts of the list with which the process begins. They may have been reported long ago, so their ages are taken as
     /// they are read.
-    pub fn begin_with(
+    pub fn reported_at_start(
         &mut self,
         clocks: Clocks,
         worker: WorkerId,
         reported: Option<Timestamp>,
     ) -> Option<Timestamp> {
-        self.learn(clocks, worker, reported, false)
+        self.record(clocks, worker, reported, false)
     }
 
     /// A start that is reported now, in the own time; none where it was long ago. One that was reported before stays where it is.
@@ -85,15 +85,15 @@
         worker: WorkerId,
         reported: Option<Timestamp>,
     ) -> Option<Timestamp> {
-        self.learn(clocks, worker, reported, true)
+        self.record(clocks, worker, reported, true)
     }
 
-    fn learn(
+    fn record(
         &mut self,
         clocks: Clocks,
         worker: WorkerId,
         reported: Option<Timestamp>,
-        live: bool,
+        correct_clocks: bool,
     ) -> Option<Timestamp> {
         let Some(reported) = reported else {
             self.starts.remove(&worker);
@@ -105,7 +105,7 @@
         let ages = Ages::of(clocks, reported);
         let shortest = self.shortest.map_or(ages, |shortest| shortest.min(ages));
         self.shortest = Some(shortest);
-        let age = if live { ages.corrected(shortest).shorter() } else { ages.shorter() };
+        let age = if correct_clocks { ages.corrected(shortest).shorter() } else { ages.shorter() };
         let own = clocks.own - age;
         self.starts.insert(worker, Start { reported, own });
         Some(own)
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 use std::net::{SocketAddr, UdpSocket};
 
-const REF: &str = "9b1f03aa5c7e2d41";
+const REFERENCE: &str = "9b1f03aa5c7e2d41";
 
 /// A daemon of this priority whose only peer is the test.
 fn start(worker: &Worker, priority: u8, interval: u16, bind: &str, peer: SocketAddr) -> Daemon {
@@ -27,58 +27,58 @@
     })
 }
 
-fn say(socket: &UdpSocket, to: SocketAddr, vrid: u8, priority: u8, interval: u16) {
+fn send_advertisement(socket: &UdpSocket, to: SocketAddr, vrid: u8, priority: u8, interval: u16) {
     let addresses = vec!["127.0.0.100".parse().unwrap()];
     socket.send_to(&Advertisement { vrid, priority, interval, addresses }.write(), to).unwrap();
 }
 
-fn hear(socket: &UdpSocket) -> (Advertisement, SocketAddr) {
+fn receive_advertisement(socket: &UdpSocket) -> (Advertisement, SocketAddr) {
     let mut bytes = [0; 1500];
     let (size, from) = socket.recv_from(&mut bytes).unwrap();
     (Advertisement::read(&bytes[..size]).unwrap(), from)
 }
 
-fn code(rpc: &mut Rpc, id: u32) -> Value {
-    rpc.send(&rpc_call(&json!(id), "practice-check", REF, 2900, "").to_string());
+fn call_error_code(rpc: &mut Rpc, id: u32) -> Value {
+    rpc.send(&rpc_call(&json!(id), "practice-check", REFERENCE, 2900, "").to_string());
     rpc.next()["error"]["code"].clone()
 }
 
 #[test]
-fn only_the_active_daemon_takes_new_calls_and_one_that_steps_back_finishes_its_own() {
+fn only_the_active_daemon_accepts_new_calls_and_a_backup_finishes_its_own() {
     let worker = Worker::over_tcp();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(LONG)).unwrap();
     let daemon = start(&worker, 100, 10, "127.0.0.1:0", peer.local_addr().unwrap());
-    let (message, at) = hear(&peer);
-    assert_eq!((message.vrid, message.priority, message.interval), (7, 100, 10));
+    let (advertisement, daemon_address) = receive_advertisement(&peer);
+    assert_eq!((advertisement.vrid, advertisement.priority, advertisement.interval), (7, 100, 10));
     daemon.wait_log("state=Active was=Backup");
     let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
-    client.send(&rpc_call(&json!(1), "practice-check", REF, 2900, "").to_string());
-    let mut heard = worker.next();
+    client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 2900, "").to_string());
+    let mut received = worker.next();
     // Malformed and foreign ones change nothing.
-    peer.send_to(b"\x31\x07\xff", at).unwrap();
-    say(&peer, at, 8, 250, 4000);
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    say(&stranger, at, 7, 250, 4000);
+    peer.send_to(b"\x31\x07\xff", daemon_address).unwrap();
+    send_advertisement(&peer, daemon_address, 8, 250, 4000);
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    send_advertisement(&unknown_sender, daemon_address, 7, 250, 4000);
     daemon.wait_counter("vrrp_dropped", 3);
     assert!(!daemon.wait_log("vrrp").contains("state=Backup was=Active"));
     // A higher priority: this one steps back, for three of the other's long intervals.
-    say(&peer, at, 7, 250, 4000);
+    send_advertisement(&peer, daemon_address, 7, 250, 4000);
     daemon.wait_log("state=Backup was=Active");
-    assert_eq!(code(&mut client, 2), -32001, "no new call");
-    heard.answer("200", "eA==");
+    assert_eq!(call_error_code(&mut client, 2), -32001, "no new call");
+    received.answer("200", "eA==");
     assert_eq!(client.next(), json!({"jsonrpc": "2.0", "id": 1, "result": {"body": "eA=="}}));
     // The other one tells a short interval and stops: this one takes over after its skew.
-    say(&peer, at, 7, 250, 10);
-    say(&peer, at, 7, 0, 10);
+    send_advertisement(&peer, daemon_address, 7, 250, 10);
+    send_advertisement(&peer, daemon_address, 7, 0, 10);
     daemon.wait_log_times("state=Active was=Backup", 2);
-    client.send(&rpc_call(&json!(3), "practice-check", REF, 2900, "").to_string());
+    client.send(&rpc_call(&json!(3), "practice-check", REFERENCE, 2900, "").to_string());
     worker.next().answer("200", "eQ==");
     assert_eq!(client.next()["result"]["body"], "eQ==");
 }
 
 #[test]
-fn two_daemons_hand_over_at_shutdown() {
+fn the_backup_becomes_active_when_the_active_daemon_shuts_down() {
     let (one, two) = (Worker::over_tcp(), Worker::over_tcp());
     // Each must know the other's port before it starts. No other test binds these addresses, so what the
     // system gives out stays free.
@@ -90,13 +90,13 @@
     active.wait_log("state=Active");
     backup.wait_log("state=Backup was=Active");
     let mut client = Rpc::connect(&backup.folder.at("calls.sock"));
-    assert_eq!(code(&mut client, 1), -32001);
+    assert_eq!(call_error_code(&mut client, 1), -32001);
     active.signal("TERM");
     active.child.wait().unwrap();
     let log = active.wait_log("ended");
     assert!(log.contains("state=Initialize was=Active"), "{log}");
     backup.wait_log_times("state=Active was=Backup", 2);
-    client.send(&rpc_call(&json!(2), "practice-check", REF, 2900, "").to_string());
+    client.send(&rpc_call(&json!(2), "practice-check", REFERENCE, 2900, "").to_string());
     one.next().answer("200", "eA==");
     assert_eq!(client.next()["result"]["body"], "eA==");
 }
