--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! The plug-in for an RPC client: the scheduler and its back ends in the caller's own thread, without the daemon.
+//! The plug-in for an RPC client: runs the scheduler and its back ends in the caller's thread, without the daemon.
 //!
 //! ```
 //! use mintgate::backend::Endpoint;
@@ -41,7 +41,7 @@
 //! };
 //! assert_eq!((answered, answer.verdict), (call, Verdict::Served(b"4 of 5".to_vec())));
 //!
-//! // Two steps under one deadline: the second works on the first one's answer.
+//! // Two steps under one deadline: the second receives the first one's answer.
 //! let step = |function, body| Step {
 //!     class: "check".to_owned(), function: FunctionId(function), memory_mb: 400.0, concurrency: 2.0,
 //!     load_time: None, body,
@@ -71,56 +71,59 @@
 /// Connections that an embedded scheduler opens at most.
 const MAX_CONNECTIONS: usize = 256;
 
-/// A request of the embedding client.
+/// Identifies a request or chain of the embedding client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestHandle(pub u64);
 
-/// What a client asks for.
+/// A request to submit.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
     /// Name of the class.
     pub class: String,
     /// The function called.
     pub function: FunctionId,
-    /// Idempotency key, in keyed classes: the same for all tries of one request.
+    /// Idempotency key, in keyed classes: the same for all retries of a request by its client.
     pub key: Option<String>,
     /// Memory of one loaded instance, in MB.
     pub memory_mb: f64,
     /// Requests that one instance runs at a time.
     pub concurrency: f64,
-    /// Usual time of a load.
+    /// Usual time to load the function, if known.
     pub load_time: Option<Duration>,
-    /// When the answer is no longer of use.
+    /// The time after which the answer is of no use.
     pub deadline: Timestamp,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl OutgoingRequest {
-    /// A request without a key, of a function of which nothing more is known.
+    /// A request without a key, for a function whose memory and load time are unknown.
     pub fn new(class: &str, function: FunctionId, deadline: Timestamp, body: Vec<u8>) -> OutgoingRequest {
         let (class, key, load_time) = (class.to_owned(), None, None);
         OutgoingRequest { class, function, key, memory_mb: 0.0, concurrency: 1.0, load_time, deadline, body }
     }
 }
 
-/// A scheduler inside its client. See the module's page.
+/// A scheduler embedded in its client, which runs while [`Client::poll_once`] is called.
 pub struct Client {
     core: Core,
     reactor: Reactor,
     pool: Pool,
+    /// The number of the last [`RequestHandle`].
     last_handle: u64,
-    /// Makes names of requests unlike those of other clients of the same workers.
+    /// Prefix of request references, which makes them differ from those of other clients of the same workers.
     salt: u32,
+    /// Answers that the caller has not fetched yet.
     answers: Vec<(RequestHandle, Answer)>,
-    chain_ends: Vec<(RequestHandle, End)>,
+    /// Ends of chains that the caller has not fetched yet.
+    ends: Vec<(RequestHandle, End)>,
 }
 
 impl Client {
-    /// A scheduler without workers. The seed decides ties, and is to differ between clients.
+    /// A scheduler without workers. The seed breaks ties and must differ between clients.
     ///
     /// # Errors
-    /// The system gives no poll or no clock.
+    /// The system's poll or clock cannot be opened.
     pub fn new(site: Site, seed: u64) -> io::Result<Client> {
         let reactor = Reactor::new(SystemClock::new())?;
         let pool = Pool::new(ConnectionLimits::of(&site), site.connect_limit, MAX_CONNECTIONS);
@@ -132,16 +135,16 @@
             last_handle: 0,
             salt,
             answers: vec![],
-            chain_ends: vec![],
+            ends: vec![],
         })
     }
 
-    /// The present time, of which deadlines are points.
+    /// The current time on the clock that deadlines refer to.
     pub fn now(&self) -> Timestamp {
         self.reactor.now()
     }
 
-    /// The whole list of workers, whenever it has changed. A worker absent from it is gone.
+    /// Replaces the list of workers, and is to be called whenever it has changed. Workers that are not on it are removed.
     pub fn workers(&mut self, list: Vec<(Member, Endpoint)>) {
         let listed =
             |worker| list.iter().any(|(member, _)| member.worker == worker && member.state != State::Gone);
@@ -154,11 +157,11 @@
         self.execute_commands();
     }
 
-    /// The source of the list was heard now: the list that this client was given is complete. A source that may go out of reach
-    /// is to be reported so about once a second, whether or not anything has changed; from the first report on, workers are
-    /// asked before they are sent anything once a report is more than 1.25 s and 0.8 of the drain grace old; where health checks
-    /// are not allowed, nothing is sent to workers of which nothing was heard for 7 s and 0.8 of the grace. Without any
-    /// report the list counts for as long as nobody changes it.
+    /// Confirms that the list of workers is complete and up to date. If the source of the list may become unreachable, call
+    /// this about once a second while it is reachable, whether or not anything has changed. After the first call, once the
+    /// last confirmation is older than 1.25 s plus 0.8 of the drain grace, workers are probed before anything is sent to
+    /// them; where health checks are not allowed, nothing is sent to workers from which nothing was received for 7 s plus
+    /// 0.8 of the grace. Without any call the list is valid until it is replaced.
     pub fn list_confirmed(&mut self) {
         let now = self.reactor.now();
         self.core.set_list_source(now, true, BTreeSet::new());
@@ -166,7 +169,7 @@
         self.execute_commands();
     }
 
-    /// Takes a request. [`Client::poll_once`] gives its one answer, unless it is cancelled before.
+    /// Submits a request. [`Client::poll_once`] returns its one answer, unless the request is cancelled before.
     pub fn submit(&mut self, call: OutgoingRequest) -> RequestHandle {
         self.last_handle += 1;
         let OutgoingRequest { class, function, key, memory_mb, concurrency, load_time, deadline, body } =
@@ -190,8 +193,8 @@
         RequestHandle(self.last_handle)
     }
 
-    /// Takes a chain: its steps run one after another, and [`Client::chain_ends`] has its one end once a turn has
-    /// brought it. The deadline is also the wanted time of the last step's class, if that is earlier.
+    /// Submits a chain, whose steps run one after another. [`Client::chain_ends`] returns its one end. The deadline is also
+    /// the latency objective of the last step's class, if it is earlier.
     pub fn chain(&mut self, key: Option<String>, deadline: Timestamp, steps: Vec<Step>) -> RequestHandle {
         self.last_handle += 1;
         let owner = Owner { connection: 0, stream: self.last_handle };
@@ -200,25 +203,25 @@
         RequestHandle(self.last_handle)
     }
 
-    /// The chains that have ended since this was asked last.
+    /// Returns the chains that have ended since the last call.
     pub fn chain_ends(&mut self) -> Vec<(RequestHandle, End)> {
-        std::mem::take(&mut self.chain_ends)
+        std::mem::take(&mut self.ends)
     }
 
-    /// Nobody waits for this request or chain any more: no answer comes, and workers are told where that helps.
+    /// Cancels a request or chain: it gets no answer, and workers are notified where that helps.
     pub fn cancel(&mut self, call: RequestHandle) {
         self.core.withdraw(self.reactor.now(), Owner { connection: 0, stream: call.0 });
         self.answers.retain(|(id, _)| *id != call);
-        self.chain_ends.retain(|(id, _)| *id != call);
+        self.ends.retain(|(id, _)| *id != call);
         self.execute_commands();
     }
 
-    /// Works until something has happened or `until` has come; the requests that have ended.
+    /// Runs the scheduler until an event was handled or `until` is reached, and returns the requests that have ended.
     ///
     /// # Errors
-    /// The wait itself failed; connections that fail only end their own requests.
+    /// The poll failed. The failure of a connection ends only its own requests.
     pub fn poll_once(&mut self, until: Timestamp) -> io::Result<Vec<(RequestHandle, Answer)>> {
-        if self.answers.is_empty() && self.chain_ends.is_empty() {
+        if self.answers.is_empty() && self.ends.is_empty() {
             let due = self.core.next_timeout().into_iter().chain([until]).min();
             self.reactor.poll_once(due, &mut self.core)?;
             self.execute_commands();
@@ -226,11 +229,12 @@
         Ok(std::mem::take(&mut self.answers))
     }
 
-    /// What has been counted so far.
+    /// The scheduler's counters.
     pub fn counters(&mut self) -> &Counters {
         self.core.counters()
     }
 
+    /// Runs expired timers and executes the core's commands until none are left.
     fn execute_commands(&mut self) {
         self.core.on_timeout(self.reactor.now());
         loop {
@@ -238,9 +242,7 @@
                 Some(Command::Answer { owner, answer }) => {
                     self.answers.push((RequestHandle(owner.stream), answer));
                 }
-                Some(Command::Chain { owner, end }) => {
-                    self.chain_ends.push((RequestHandle(owner.stream), end))
-                }
+                Some(Command::Chain { owner, end }) => self.ends.push((RequestHandle(owner.stream), end)),
                 Some(command) => self.pool.execute(command, &mut self.reactor, &mut self.core),
                 None if self.pool.write_next_attempt(&mut self.reactor, &mut self.core) => {}
                 None => return,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: the core with its fronts, back ends, discovery, clock and signals round it.
+//! The daemon: connects the core to its fronts, back ends, discovery, clock and signals.
 
 mod accept;
 mod discovery;
@@ -37,9 +37,10 @@
 use tracing::{error, info};
 use upgrade::Upgrade;
 
-/// Descriptors kept for the poll, the listeners, the pipes, discovery and the standard streams.
+/// Descriptors reserved for the poll, the listeners, the pipes, discovery and the standard streams.
 const RESERVED_DESCRIPTORS: usize = 32;
 
+/// The running process: the core, its sockets, and the parts that the operator's file turns on.
 struct Daemon {
     sources: Sources,
     core: Core,
@@ -47,53 +48,55 @@
     pool: Pool,
     config: Config,
     operator: Operator,
-    /// Workers of the operator's file: discovery tells nothing of them.
+    /// The checkers: workers of the operator's file, which discovery does not list.
     checkers: Vec<Member>,
     received_events: Rc<RefCell<ReceivedEvents>>,
-    /// When workers started, and whether the list of the configuration has been learned.
+    /// When workers started.
     start_times: StartTimes,
+    /// Whether the worker list of the configuration has been applied.
     known_list_applied: bool,
-    /// For what schedulers of one fleet must not do at one time.
+    /// Spreads out what the schedulers of a fleet must not all do at the same time.
     rng: Pcg64Mcg,
     next_discovery_attempt: Option<Timestamp>,
-    /// The connection to discovery, while there is one.
+    /// The ID of the connection to discovery, while there is one.
     discovery_connection: Option<u64>,
-    /// The clients' listener, and whether clients are taken from it.
+    /// The clients' listener, and whether connections are accepted at it.
     listener: (usize, bool),
-    /// Where the platform holds that listener, another process may take over.
+    /// Set if the platform passed on that listener, so that a newer process can take over from this one.
     upgrade: Option<Upgrade>,
-    /// Sums over the last events of discovery.
+    /// Offsets and checksums of the last discovery events, the newest one last.
     event_sums: VecDeque<(u64, u64)>,
-    /// When to take clients again at listeners that may have more; see `accept`.
+    /// Listeners at which more connections may be waiting, and when to accept them; see `accept`.
     pending_accepts: BTreeMap<usize, PendingAccept>,
-    /// The listener of the second address, and those who call there, in the order they came.
+    /// The listener of the second address, and the connections accepted there, oldest first.
     mgmt: Option<usize>,
     operator_connections: VecDeque<u64>,
-    /// The listener of the second front, and its file.
+    /// The listener of the JSON-RPC front, and its socket file.
     rpc: Option<(usize, SocketFile)>,
     rpc_clients: BTreeSet<u64>,
     router: Option<Router>,
     fleet: Option<fleet::Member>,
-    /// When to try again to take the fleet's address over from the old process.
+    /// When to try again to bind the fleet's address, which the old process may still have.
     fleet_retry_at: Option<Timestamp>,
     distribution: Option<Distribution>,
     pipes: Pipes,
-    /// The reading of the files at SIGHUP.
+    /// The reloads that SIGHUP requests.
     reloads: Reloads,
-    /// The times of its end, once that has begun.
+    /// The times of the shutdown, once it has begun.
     shutdown: Option<ShutdownTimes>,
+    /// Whether the connections have been asked to leave again, after `ShutdownTimes::reject_at`.
     notified_late_clients: bool,
 }
 
-/// The pipes that wake the loop: to end, to print counters, and to read the files anew. One more says that they
-/// have been read.
+/// The pipes that wake the loop to shut down, to log the counters, and to reload the files. A further pipe wakes it
+/// when the files have been read.
 struct Pipes {
     end: usize,
     print: usize,
     reload: usize,
 }
 
-/// The reading ends of the signals' pipes: to end, to print counters, and to read the files anew.
+/// The read ends of the signals' pipes: to shut down, to log the counters, and to reload the files.
 struct Signals {
     end: UnixStream,
     print: UnixStream,
@@ -107,12 +110,13 @@
     }
 }
 
-/// Serves until a signal ends it; the error says why it could not.
+/// Runs the daemon until a signal ends it.
 ///
 /// # Errors
-/// A file cannot be read or used, or an address or descriptor cannot be had; the text says which.
+/// A file cannot be read or is invalid, an address cannot be bound, or a descriptor cannot be allocated; the text says
+/// which.
 pub fn start(sources: Sources) -> Result<(), String> {
-    // First of all: a signal that comes while the files are read would end the process.
+    // Installed before the files are read: until then a signal ends the process.
     let signals = retry_while_transient(Signals::new).map_err(|e| format!("cannot serve: {e}"))?;
     let name = std::env::var("GW_NAME").unwrap_or_default();
     let (config, operator) = upgrade::read_config_or_saved(&sources, &name)?;
@@ -120,7 +124,7 @@
     served.map_err(|e| format!("cannot serve: {e}"))
 }
 
-/// The clients' listener: of the configuration's address, or the one that the platform has passed on.
+/// Opens the clients' listener at the configured address, or takes the one that the platform has passed on.
 fn listen_for_clients(sources: &Sources, config: &mut Config, reactor: &mut Reactor) -> io::Result<usize> {
     let (listener, own) = match sources.passed {
         None => retry_while_transient(|| reactor.listen(config.listen))?,
@@ -137,7 +141,7 @@
     Ok(listener)
 }
 
-/// The listener of the second address, where the configuration names one.
+/// Opens the listener of the second address, if the configuration names one.
 fn listen_for_operators(config: &mut Config, reactor: &mut Reactor) -> io::Result<Option<usize>> {
     let Some(address) = &mut config.mgmt else { return Ok(None) };
     let (listener, own) = retry_while_transient(|| reactor.listen(*address))?;
@@ -145,7 +149,7 @@
     Ok(Some(listener))
 }
 
-/// What the operator's file turns on.
+/// The parts that the operator's file turns on.
 struct OperatorParts {
     rpc: Option<(usize, SocketFile)>,
     router: Option<Router>,
@@ -154,7 +158,7 @@
 }
 
 impl OperatorParts {
-    /// Opens their sockets, in this order. At an upgrade these are still the old process's; see `upgrade`.
+    /// Opens their sockets, in this order. At an upgrade the old process still has them; see `upgrade`.
     fn open(
         operator: &Operator,
         config: &Config,
@@ -281,7 +285,7 @@
         }
     }
 
-    /// The workers of the operator's file, and the events that the configuration knows, as if they had just come.
+    /// Adds the checkers, and queues the events of the configuration as if they had just been received.
     fn apply_known_events(&mut self) {
         if !self.checkers.is_empty() {
             let now = self.reactor.now();
@@ -294,7 +298,7 @@
         }
     }
 
-    /// The earliest time at which something is to be done though nothing has come.
+    /// The earliest time at which a timer expires.
     fn next_wakeup(&mut self) -> Option<Timestamp> {
         let timeouts = [
             self.upgrade.as_ref().and_then(|upgrade| upgrade.machine.next_timeout()),
@@ -305,7 +309,7 @@
             self.endpoints_timeout(),
             self.fleet_timeout(),
             self.distribution_timeout(),
-            // Before the end, what has come in the meantime is looked for once more.
+            // Polls once more before the process exits, for input that has arrived in the meantime.
             self.may_exit().then(|| self.reactor.now()),
             self.next_shutdown_step(),
         ];
@@ -328,7 +332,7 @@
         }
     }
 
-    /// What is due by now in all parts.
+    /// Runs the expired timers of all parts.
     fn run_timers(&mut self) {
         self.retry_accepts();
         self.retry_save_config();
@@ -343,7 +347,7 @@
         self.handle_handover(handover::HandoverInput::Timeout);
     }
 
-    /// From now on clients are taken.
+    /// Reports this process as ready, and starts VRRP and the fleet.
     fn begin_serving(&mut self) {
         self.reactor.ready = true;
         self.handle_vrrp(Event::Startup);
@@ -353,12 +357,12 @@
         info!(name = %self.config.name, %listen, mgmt = mgmt.map(tracing::field::display), offset, "serving");
     }
 
-    /// Acts on everything that waits, until nothing does.
+    /// Applies discovery's events and executes the core's commands until none are left.
     fn execute_commands(&mut self) {
         let now = self.reactor.now();
         self.advance_discovery(now);
         if self.core.next_timeout().is_some_and(|at| at <= now) {
-            // There is no connection to end here. What the panic leaves undone runs into its deadlines.
+            // A panic here belongs to no connection that could be closed. The requests it affects end at their deadlines.
             let result = catch_unwind(AssertUnwindSafe(|| self.core.on_timeout(now)));
             if result.is_err() {
                 self.core.counters().panics += 1;
@@ -400,6 +404,7 @@
         }
     }
 
+    /// Logs the figures, the counters and the violations.
     fn log_counters(&mut self) {
         info!("figures {}", self.core.figures().to_string().trim_end().replace('\n', " "));
         info!("{}", self.core.counters());
@@ -407,19 +412,20 @@
     }
 }
 
-/// Bodies of open requests take a sixth of the memory, and output that nobody reads another.
+/// Limits the memory of one of `process_count` processes that share the configured amount: the bodies of open requests
+/// may take a sixth of it, and unwritten output another sixth.
 fn limit_memory(config: &Config, process_count: usize, core: &mut Core, reactor: &mut Reactor) {
     let memory = (config.memory_mb << 20) / process_count;
     core.limit_memory(memory);
     reactor.max_unwritten_bytes = memory / 6;
 }
 
-/// Descriptors that connections may take where no other process shares them.
+/// Descriptors that connections may use when no other process shares them.
 fn descriptors(config: &Config) -> usize {
     config.sockets.saturating_sub(RESERVED_DESCRIPTORS)
 }
 
-/// What the configuration lets connections to workers take.
+/// The configured limits of connections to workers, and their connect timeout.
 fn worker_limits(config: &Config) -> (backend::ConnectionLimits, Duration) {
     let site = &config.site;
     let limits = backend::ConnectionLimits::of(site);
@@ -428,7 +434,7 @@
     (limits, connect)
 }
 
-/// The reading end of a pipe that gets a byte for each of these signals.
+/// Returns the read end of a pipe to which each of these signals writes a byte.
 fn signal_pipe(signals: &[i32]) -> io::Result<UnixStream> {
     let (read, write) = UnixStream::pair()?;
     write.set_nonblocking(true)?;
--- a/src/daemon/accept.rs
+++ b/src/daemon/accept.rs
@@ -1,8 +1,8 @@
-//! Connections that come in, at any listener: the clients', the second front's, the second address and the upgrade socket
-//! of an upgrade.
+//! Accepts connections at every listener: the clients', the JSON-RPC front's, the second address and the upgrade socket.
 //!
-//! The system tells once that somebody waits at a listener, so whoever stops taking them before it says that there are no
-//! more has to come back by itself. [`Daemon::accept`] is the one place that does either.
+//! Readiness is edge-triggered: the system reports a listener once. If accepting stops before the system returns
+//! `EAGAIN`, it has to be resumed without a further report. [`Daemon::accept`] is the only function that accepts, and
+//! schedules the retry.
 
 use super::Daemon;
 use crate::front::frames::{self, FrameConnection};
@@ -14,33 +14,33 @@
 use std::io;
 use tracing::warn;
 
-/// Connections taken at one listener in one turn of the loop: a flood of them must not keep requests waiting.
+/// Connections accepted at one listener in one turn of the loop, so that a flood of them does not delay requests.
 const MAX_ACCEPTS_PER_TURN: usize = 256;
-/// How soon a listener is asked again where the system did not hand out a connection.
+/// Interval before the next attempt at a listener after `accept` has failed.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::millis(20);
 
-/// A listener that is to be asked again.
+/// A retry at a listener at which connections may be waiting.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingAccept {
-    /// When.
+    /// When to accept again.
     pub(super) due: Timestamp,
-    /// Since when somebody may wait there.
+    /// The earliest time at which a waiting connection may have arrived.
     since: ClockReading,
 }
 
-/// What a failed `accept` is about.
+/// The kinds of failures of `accept`.
 #[derive(Debug, PartialEq, Eq)]
 enum AcceptFailure {
-    /// The connection that was next, or a signal: the one behind it can be had.
+    /// The next connection failed, or a signal interrupted the call: the one after it can be accepted at once.
     Connection,
-    /// Descriptors or memory are short.
+    /// Out of descriptors or memory.
     NoRoom,
-    /// Something else, which may pass.
+    /// Any other error, which may be temporary.
     Other,
 }
 
 impl AcceptFailure {
-    /// As accept(2) tells them apart.
+    /// Classifies an error as accept(2) describes it.
     fn of(error: &io::Error) -> AcceptFailure {
         match Errno::from_io_error(error) {
             Some(
@@ -64,7 +64,7 @@
 }
 
 impl Daemon {
-    /// Takes those that wait at a listener, until the system has no more of them, or arranges to come back.
+    /// Accepts the connections waiting at a listener until there are no more, or schedules a retry.
     pub(super) fn accept(&mut self, listener: usize) {
         if listener == self.listener.0 && !self.listener.1 {
             return;
@@ -73,7 +73,7 @@
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.reactor.accept(listener) {
                 Ok(Some(stream)) => {
-                    // There are more, in all likelihood; where every request fails there may be none.
+                    // More connections are likely to wait; if every call fails, there may be none.
                     pause = Duration(0);
                     self.admit(listener, stream);
                 }
@@ -87,13 +87,14 @@
         self.schedule_accept(listener, pause);
     }
 
-    /// Comes back to a listener after a while. Those that wait there may have done so since it was asked first.
+    /// Schedules a retry at a listener. Connections that wait there may have arrived at any time since the first attempt.
     fn schedule_accept(&mut self, listener: usize, pause: Duration) {
         let now = self.reactor.now();
         let (due, since) = (now + pause, self.reactor.arrival_bound());
         self.pending_accepts.insert(listener, PendingAccept { due, since });
     }
 
+    /// Schedules a retry after a failure, and frees a descriptor if none are left.
     fn handle_accept_failure(&mut self, listener: usize, failure: &AcceptFailure, error: &io::Error) {
         let now = self.reactor.now();
         self.schedule_accept(listener, ACCEPT_RETRY_INTERVAL);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Asks those listeners again whose time has come.
+    /// Accepts at the listeners whose retry is due.
     pub(super) fn retry_accepts(&mut self) {
         let now = self.reactor.now();
         let due = |(listener, pending): (&usize, &PendingAccept)| {
@@ -119,6 +120,7 @@
         }
     }
 
+    /// Hands an accepted connection to the part that its listener belongs to.
     fn admit(&mut self, listener: usize, stream: Stream) {
         if self.mgmt == Some(listener) {
             return self.accept_operator(stream);
@@ -126,7 +128,7 @@
         if self.is_handover_listener(listener) {
             return self.admit_peer(stream);
         }
-        // Clients hold a third of the descriptors at most; what workers need is kept free.
+        // Clients use at most a third of the descriptors; those that workers need stay free.
         let budget = self.descriptors();
         let room = self.reactor.count() < budget - budget / 8;
         if room || self.reactor.close_longest_idle(&mut self.core) {
@@ -146,8 +148,8 @@
         self.reactor.add(stream, connection, true, frames::BUFFER_LIMITS, &mut self.core);
     }
 
-    /// Operators at the second address come in whatever clients do, for their descriptors are reserved. Where all
-    /// places are taken, whoever came first and has completed nothing yet makes room.
+    /// Accepts an operator's connection regardless of the clients, as its descriptor is reserved. If the limit is reached,
+    /// the oldest connection that has not completed its request is closed.
     fn accept_operator(&mut self, stream: Stream) {
         let reactor = &self.reactor;
         self.operator_connections.retain(|id| reactor.inspect(*id, |_| ()).is_some());
@@ -166,12 +168,13 @@
         ));
     }
 
+    /// Accepts a client of the JSON-RPC front, up to `max_clients`.
     fn admit_rpc(&mut self, now: Timestamp, stream: Stream) {
         let Some(front) = &self.operator.jsonrpc else { return };
         let reactor = &mut self.reactor;
         self.rpc_clients.retain(|id| reactor.inspect(*id, |_| ()).is_some());
         if self.rpc_clients.len() >= front.max_clients {
-            // The one that has held its place longest without anything open makes room, if there is one.
+            // Closes the connection that has been idle longest, if any has no open request.
             let idle = |id: &u64| Some((reactor.inspect(*id, |connection| connection.idle_since())??, *id));
             if let Some((_, id)) = self.rpc_clients.iter().filter_map(idle).min() {
                 reactor.close_replaced(id, &mut self.core);
--- a/src/daemon/accept/tests.rs
+++ b/src/daemon/accept/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn failures_are_told_apart_as_the_manual_does() {
+fn failures_are_classified_as_accept_2_describes() {
     let of = |errno: Errno| AcceptFailure::of(&io::Error::from(errno));
     for errno in
         [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::NETDOWN, Errno::HOSTUNREACH, Errno::PERM]
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -1,4 +1,4 @@
-//! The daemon and the discovery stream: when it is dialled, and what its news change.
+//! The daemon's side of the discovery stream: when to connect, and how its events are applied.
 
 use super::Daemon;
 use crate::backend::Endpoint;
@@ -11,17 +11,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Events of discovery whose sums are kept.
+/// Discovery events whose checksums are kept for an upgrade.
 const MAX_EVENT_SUMS: usize = 256;
 
 impl Daemon {
-    /// Tells the core whether the list of workers follows a source that may go out of reach.
+    /// Reports to the core whether the list of workers follows a source that may become unreachable.
     pub(super) fn set_list_source(&mut self) {
         let checkers: BTreeSet<_> = self.checkers.iter().map(|member| member.worker).collect();
         let follows = self.config.discovery.is_some() || self.operator.subscribes();
         self.core.set_list_source(self.reactor.now(), follows, checkers);
     }
 
+    /// Applies the received events, and connects to discovery when an attempt is due.
     pub(super) fn advance_discovery(&mut self, now: Timestamp) {
         loop {
             let Some(event) = self.received_events.borrow_mut().events.pop_front() else { break };
@@ -58,6 +59,7 @@
         self.discovery_connection = connected;
     }
 
+    /// Applies an event to the list of workers, unless the list comes from the domain.
     pub(super) fn apply_event(&mut self, now: Timestamp, mut event: WatchEvent) {
         if self.list_is_distributed() {
             return;
@@ -81,7 +83,7 @@
         self.source_changed(changed);
     }
 
-    /// A worker is there, or gone, as the list tells. Its start, told in Unix time, is put into the scheduler's own.
+    /// Adds, changes or removes a worker as the list says, and converts its start from Unix time to the scheduler's own time.
     pub(super) fn update_worker(&mut self, now: Timestamp, member: &mut Member, address: SocketAddr) {
         if member.state == State::Gone {
             self.start_times.remove(member.worker);
@@ -96,8 +98,8 @@
         self.pool.set_endpoint(member.worker, Endpoint::Tcp(address), member.started);
     }
 
-    /// Discovery has another address: the old one tells nothing more. The new one is asked at once, from the
-    /// last event on, and the old connection's end is none of the new one's.
+    /// Moves to discovery's new address at once: closes the old connection and subscribes from the last event on. The state
+    /// is a new one, so that the end of the old connection does not count as a failure of the new one.
     pub(super) fn change_discovery_address(&mut self, now: Timestamp) {
         let (offset, events) = {
             let mut old = self.received_events.borrow_mut();
--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -1,4 +1,5 @@
-//! The daemon in its domain: the node's datagrams and clock, and what a version that was installed puts in force.
+//! The daemon as a process of its distribution domain: sends and receives the datagrams of its [`DistributionNode`], and
+//! applies the installed versions.
 
 mod classes;
 mod publisher;
@@ -23,44 +24,46 @@
 use std::time::Instant;
 use tracing::{error, info, warn};
 
-/// Interval between attempts to bind the domain's address, while the old process has it.
+/// Interval between attempts to bind the domain's address while the old process has it.
 const BIND_RETRY_INTERVAL: Duration = Duration::millis(50);
 
-/// What this process is in its domain, and what it has from there. The latter stays when the joined goes to another
-/// process, as at an upgrade.
+/// This process's membership of its domain, and what it has received from there. The latter is kept when another process
+/// joins in its place, as at an upgrade.
 pub(super) struct Distribution {
+    /// The node, while this process has joined the domain.
     joined: Option<DomainNode>,
-    /// When to try again to take the address over from the old process.
+    /// When to try again to bind the address, which the old process may still have.
     retry_at: Option<Timestamp>,
+    /// The classes received from the domain.
     classes: Rc<RefCell<Classes>>,
-    /// The list of workers came from the domain: what the file and discovery say counts no longer.
+    /// The list of workers comes from the domain, so that those of the file and of discovery are ignored.
     pub(super) provides_list: bool,
 }
 
-/// A process's joined in its domain.
+/// The node of a process that has joined its domain.
 struct DomainNode {
     node: Rc<RefCell<DistributionNode>>,
     socket: usize,
     role: Role,
-    /// Stands for the domain's name in datagrams.
+    /// Hash of the domain's name, which identifies it in datagrams.
     domain: u64,
     process: Process,
-    /// Whether anything was installed since this joined was taken.
+    /// Whether a version has been installed since this process joined.
     installed: bool,
-    /// When the list was last known to be up to date, as the core knows it.
+    /// When the list was last known to be up to date, as last reported to the core.
     list_confirmed_at: Option<Timestamp>,
-    /// Of a replica.
+    /// What a replica publishes; `None` for the other roles.
     publisher: Option<Publisher>,
 }
 
 impl Distribution {
-    /// One that has no joined yet.
+    /// The state of a process that has not joined yet.
     pub(super) fn new(config: &Config) -> Distribution {
         let classes = Rc::new(RefCell::new(Classes::new(config)));
         Distribution { joined: None, retry_at: None, classes, provides_list: false }
     }
 
-    /// Takes this process's joined.
+    /// Binds the domain's address and joins.
     pub(super) fn join(
         &mut self,
         setting: &config::Distribution,
@@ -87,7 +90,7 @@
         };
         self.classes.borrow_mut().expect_snapshot();
         let check: Box<dyn ChangeCheck> = match role {
-            // It hands on what schedulers judge for themselves.
+            // A relay only forwards changes, which each scheduler checks itself.
             Role::Relay => Box::new(NoCheck),
             Role::Subscriber | Role::Replica => Box::new(ClassCheck(self.classes.clone())),
         };
@@ -107,7 +110,7 @@
     }
 }
 
-/// The topics of a subscriber's zones, in order.
+/// The topics of a subscriber's zones, in order; all topics if no zones are set.
 fn interest(zones: Option<&[String]>, all: &[String]) -> Interest {
     let Some(zones) = zones else { return Interest::All };
     let index = |zone: &String| all.iter().position(|known| known == zone);
@@ -116,7 +119,7 @@
     Interest::Topics(topics.into_iter().collect())
 }
 
-/// The classes of a configuration by their names, as they are distributed.
+/// The classes of a configuration as distribution records, by name.
 fn classes_of(config: &Config) -> BTreeMap<Key, Value> {
     let class = |class: &Json| {
         Some((Key::Class(class["name"].as_str()?.to_owned()), Value::Class(class.to_string())))
@@ -124,20 +127,23 @@
     config.classes().iter().filter_map(class).collect()
 }
 
+/// A version as log lines show it.
 fn version_text(version: Version) -> String {
     format!("{}.{}", version.fence, version.sequence)
 }
 
 impl Daemon {
+    /// The node, while this process has joined the domain.
     fn joined(&self) -> Option<&DomainNode> {
         self.distribution.as_ref()?.joined.as_ref()
     }
 
+    /// The publisher, while this process has joined the domain as a replica.
     fn publisher(&mut self) -> Option<&mut Publisher> {
         self.distribution.as_mut()?.joined.as_mut()?.publisher.as_mut()
     }
 
-    /// The joined in the domain is that of the process that takes the clients, as that in the fleet is.
+    /// Leaves or rejoins the domain at an upgrade: as in the fleet, the member is the process that accepts clients.
     pub(super) fn join_or_leave_distribution(&mut self, open: bool) {
         let Some(distribution) = &mut self.distribution else { return };
         if !open && let Some(joined) = distribution.joined.take() {
@@ -150,7 +156,7 @@
         }
     }
 
-    /// Tries to take the address in the domain, for as long as another process has it.
+    /// Binds the domain's address and joins when that is due, or schedules a retry while another process has the address.
     pub(super) fn retry_join_distribution(&mut self) {
         let now = self.reactor.now();
         let (Some(distribution), Some(setting)) = (&mut self.distribution, &self.operator.distribution)
@@ -170,12 +176,13 @@
         }
     }
 
-    /// When the distribution is to be handled next.
+    /// When the distribution's next timer expires.
     pub(super) fn distribution_timeout(&self) -> Option<Timestamp> {
         let due = self.joined().and_then(|joined| joined.node.borrow().next_timeout());
         due.into_iter().chain(self.distribution.as_ref().and_then(|distribution| distribution.retry_at)).min()
     }
 
+    /// Whether this is the domain's socket.
     pub(super) fn is_distribution_socket(&self, socket: usize) -> bool {
         self.joined().is_some_and(|joined| joined.socket == socket)
     }
@@ -205,14 +212,14 @@
         }
     }
 
-    /// The publish lease is held, held for longer, or held no longer.
+    /// Notes that the publish lease was acquired, renewed or lost.
     pub(super) fn set_publish_lease(&mut self, grant: Option<LeaseGrant>) {
         let Some(publisher) = self.publisher() else { return };
         publisher.lease(grant.map(|grant| grant.fence));
         self.handle_distribution(DistributionInput::Lease(grant));
     }
 
-    /// Passes an input to the node, and carries out its outputs.
+    /// Passes an input to the node and executes its outputs.
     pub(super) fn handle_distribution(&mut self, input: DistributionInput) {
         let now = self.reactor.now();
         let Some(joined) = self.joined() else { return };
@@ -253,10 +260,10 @@
         self.publish();
     }
 
-    // ---- What comes into force
+    // ---- Installed versions
 
-    /// A version is in force in the domain. Only a subscriber does what it says: the others serve, if they serve
-    /// requests at all, by their own file and discovery.
+    /// Applies a version of the domain if this process is a subscriber. Relays and replicas that serve requests do so by
+    /// their own file and discovery.
     fn install(&mut self, now: Timestamp, version: Version, changes: &[Change]) {
         let Some(Distribution { joined: Some(joined), classes, .. }) = &mut self.distribution else { return };
         let first = !std::mem::replace(&mut joined.installed, true);
@@ -274,12 +281,14 @@
         info!(version = version_text(version), changes = changes.len(), applied_us, "distribution installed");
     }
 
+    /// Replaces the configuration by one with other classes.
     fn use_classes(&mut self, now: Timestamp, mut config: Config) {
         self.keep_restart_only_settings(&mut config);
         self.config = config;
         self.core.replace_site(now, self.config.site.clone());
     }
 
+    /// Applies the changes of workers to the list.
     fn install_workers(&mut self, now: Timestamp, first: bool, changes: &[Change]) {
         let mut workers: BTreeMap<u64, Option<&WorkerRecord>> = BTreeMap::new();
         for change in changes {
@@ -287,7 +296,7 @@
                 (Key::Worker(id), Some(Value::Worker(record))) => {
                     workers.insert(*id, Some(record));
                 }
-                // A worker that has moved to another topic has a record there.
+                // If the worker has moved to another topic, the record there counts.
                 (Key::Worker(id), _) => {
                     workers.entry(*id).or_insert(None);
                 }
@@ -329,7 +338,7 @@
         self.core.members(now, kind, members);
     }
 
-    /// Tells the core how old the list is that came from the domain, and the domain how old this publisher's own is.
+    /// Reports to the core how old the domain's list is, and to the domain how old this publisher's own list is.
     pub(super) fn report_list_freshness(&mut self) {
         let now = self.reactor.now();
         let last_frame = self.received_events.borrow().last_frame;
@@ -348,15 +357,19 @@
         }
     }
 
-    /// Whether the list of workers is the domain's, so that nothing else counts for it.
+    /// Whether the list of workers comes from the domain, so that other sources are ignored.
     pub(super) fn list_is_distributed(&self) -> bool {
         self.distribution.as_ref().is_some_and(|distribution| distribution.provides_list)
     }
 
-    // ---- New files
+    // ---- Reloads
 
-    /// A configuration as a file says it, and the same as it is to be used: classes that came from the domain stay
-    /// above the file's. A replica refuses a class that would not fit into a datagram.
+    /// Returns a file's configuration without its list, and the configuration to use, in which the domain's classes override
+    /// the file's.
+    ///
+    /// # Errors
+    /// The configuration is invalid with the domain's classes, or a replica's file has a class that does not fit into a
+    /// datagram.
     pub(super) fn with_distributed_classes(&self, file: Config) -> Result<(Option<Config>, Config), String> {
         let Some(distribution) = &self.distribution else { return Ok((None, file)) };
         if self.operator.publishes() {
@@ -372,7 +385,7 @@
         Ok((Some(without_list), used))
     }
 
-    /// The configuration in use is another one from now on: this is what its file says of it.
+    /// Notes that the configuration in use was replaced. `file` is that of its file, without the list.
     pub(super) fn configuration_replaced(&mut self, file: Option<Config>, before: &Config) {
         let (Some(distribution), Some(mut file)) = (&self.distribution, file) else { return };
         self.keep_restart_only_settings(&mut file);
@@ -386,9 +399,9 @@
         self.publish();
     }
 
-    // ---- What is published
+    // ---- Publishing
 
-    /// News of discovery or the file's list: these workers, or any.
+    /// Notes that the source's records of these workers have changed, or those of any worker.
     pub(super) fn source_changed(&mut self, workers: Option<Vec<WorkerId>>) {
         let Some(publisher) = self.publisher() else { return };
         match workers {
@@ -398,7 +411,7 @@
         self.publish();
     }
 
-    /// Publishes what waits, if this process may now. One ticket at a time: the next goes when it is committed.
+    /// Publishes the pending changes if this process may do so now. One ticket is in flight at a time.
     fn publish(&mut self) {
         let Some(joined) = self.joined() else { return };
         let Some(publisher) = joined.publisher.as_ref().filter(|publisher| publisher.has_work()) else {
@@ -442,16 +455,17 @@
         }
     }
 
-    /// Why the own source is not to be published: one that was just started may not know of any worker yet.
+    /// Why this process's source must not be published yet: after a start its list may still be empty.
     fn pause_reason(&self, node: &DistributionNode) -> Option<&'static str> {
         if self.config.discovery.is_some() && !self.received_events.borrow().received_any {
-            return Some("the bus was not heard yet");
+            return Some("nothing was received from discovery yet");
         }
         let list_is_empty = self.core.list().next().is_none();
         (list_is_empty && node.records().any(|(key, _)| matches!(key, Key::Worker(_))))
-            .then_some("the own list is empty")
+            .then_some("this process's list of workers is empty")
     }
 
+    /// The changes that make the committed records equal to the complete source.
     fn compare_all(&self, node: &DistributionNode) -> Vec<Change> {
         let mut source = classes_of(&self.config);
         source.extend(self.core.list().filter_map(|member| self.worker_record(member)));
@@ -460,6 +474,7 @@
         changes
     }
 
+    /// The changes that make the committed records of these keys equal to the source.
     fn compare(&self, node: &DistributionNode, keys: &BTreeSet<Key>) -> Vec<Change> {
         let any_class = keys.iter().any(|key| matches!(key, Key::Class(_)));
         let mut classes = if any_class { classes_of(&self.config) } else { BTreeMap::new() };
@@ -471,7 +486,7 @@
         publisher::difference(source.collect(), committed)
     }
 
-    /// The record of a line of the own list; none for a checker of this host.
+    /// The record of a worker on this process's list; `None` for a checker, which only this host can reach.
     fn worker_record(&self, member: &Member) -> Option<(Key, Value)> {
         let reported = Member { started: self.start_times.reported(member.worker), ..*member };
         let record = WorkerRecord::of(&reported, self.pool.address(member.worker)?)?;
--- a/src/daemon/distribution/classes.rs
+++ b/src/daemon/distribution/classes.rs
@@ -1,4 +1,4 @@
-//! The classes that came by distribution, laid over those of the file by name.
+//! The classes received by distribution, which override the file's classes of the same name.
 
 use crate::config::{self, Config};
 use crate::fleet::distribution::{Change, ChangeCheck, Key, Value};
@@ -9,26 +9,29 @@
 
 type ByName = BTreeMap<String, Json>;
 
-/// What the file says, and what came.
+/// The file's configuration, and the classes received by distribution.
 pub(super) struct Classes {
     file: Config,
     distributed: ByName,
-    /// Nothing has come since this process took its place: what comes next stands for all of what came before.
+    /// Nothing has been received since this process joined the domain: the next changes replace everything received before.
     awaiting_snapshot: bool,
 }
 
 impl Classes {
-    /// Of a process to which nothing has come.
+    /// The classes of a process that has received nothing.
     pub(super) fn new(config: &Config) -> Classes {
         Classes { file: config.without_list(), distributed: ByName::new(), awaiting_snapshot: true }
     }
 
-    /// This process takes its place in the domain.
+    /// Notes that this process joins the domain, so that the next changes are a complete state.
     pub(super) fn expect_snapshot(&mut self) {
         self.awaiting_snapshot = true;
     }
 
-    /// A configuration as a file says it, with the classes that came laid over.
+    /// A file's configuration, with the distributed classes in place of its own of the same name.
+    ///
+    /// # Errors
+    /// The configuration is invalid with those classes.
     pub(super) fn with_distributed(&self, file: Config) -> Result<Config, String> {
         if self.distributed.is_empty() {
             return Ok(file);
@@ -36,13 +39,14 @@
         Ok(file.with_classes(&self.distributed)?)
     }
 
-    /// This is what the file says from now on.
+    /// Replaces the file's configuration.
     pub(super) fn replace(&mut self, file: Config) {
         self.file = file;
     }
 
-    /// What the changes make of the classes; none where they change none. They are checked against the file, and not
-    /// against what came before: whether a version is taken must not depend on which versions a process has seen.
+    /// Returns the classes and the configuration after the changes, or `None` if they change no class. They are checked
+    /// against the file and not against earlier versions: whether a version is accepted must not depend on which
+    /// versions a process has seen.
     fn with_changes(&self, changes: &[Change]) -> Result<Option<(ByName, Config)>, String> {
         let mut distributed = if self.awaiting_snapshot { ByName::new() } else { self.distributed.clone() };
         let mut changed = self.awaiting_snapshot && !self.distributed.is_empty();
@@ -66,7 +70,7 @@
         Ok(Some((distributed, config)))
     }
 
-    /// Takes the changes in; the configuration that is to be in force then, where they change a class.
+    /// Applies the changes. Returns the configuration to use from now on if they change a class.
     pub(super) fn install(&mut self, changes: &[Change]) -> Result<Option<Config>, String> {
         let new = self.with_changes(changes)?;
         self.awaiting_snapshot = false;
@@ -77,7 +81,7 @@
     }
 }
 
-/// A class as it is distributed: JSON with the name under which it goes.
+/// Parses a distributed class: a JSON object whose `name` is the record's key.
 fn read_class(name: &str, text: &str) -> Result<Json, String> {
     let class: Json = serde_json::from_str(text).map_err(|e| format!("class '{name}': {e}"))?;
     if class["name"] != *name {
@@ -86,7 +90,7 @@
     Ok(class)
 }
 
-/// Judges changes by what they would make of the configuration in use, and changes nothing.
+/// Checks whether the configuration stays valid with the changes, without applying them.
 pub(super) struct ClassCheck(pub(super) Rc<RefCell<Classes>>);
 
 impl ChangeCheck for ClassCheck {
@@ -95,7 +99,7 @@
     }
 }
 
-/// For processes that only hand on what comes.
+/// Accepts all changes: for relays, which do not apply them.
 pub(super) struct NoCheck;
 
 impl ChangeCheck for NoCheck {
--- a/src/daemon/distribution/classes/tests.rs
+++ b/src/daemon/distribution/classes/tests.rs
@@ -36,18 +36,18 @@
     let mut classes = Classes::new(&file(&[class("a", 1), class("b", 2)]));
     let config = classes.install(&[set("b", &class("b", 20)), set("c", &class("c", 30))]).unwrap().unwrap();
     assert_eq!(deadlines(&config), named(&[("a", 1), ("b", 20), ("c", 30)]));
-    // A new file does not undo it.
+    // A new file does not replace distributed classes.
     let new = file(&[class("a", 5), class("b", 6)]);
     let used = classes.with_distributed(new.clone()).unwrap();
     assert_eq!(deadlines(&used), named(&[("a", 5), ("b", 20), ("c", 30)]));
     classes.replace(new);
-    // Changes of workers alone touch no class.
+    // A change without classes yields no configuration.
     assert!(classes.install(&[]).unwrap().is_none());
     let config = classes.install(&[unset("b")]).unwrap().unwrap();
     assert_eq!(deadlines(&config), named(&[("a", 5), ("b", 6), ("c", 30)]));
 }
 
-/// Each is refused whole, with its reason, and nothing that came before is lost.
+/// One invalid class rejects all changes of the version, with the reason, and the last good state is kept.
 #[test]
 fn changes_with_an_invalid_class_are_rejected_as_a_whole() {
     let mut classes = Classes::new(&file(&[class("a", 1), class("b", 2)]));
@@ -75,7 +75,7 @@
     assert_eq!(deadlines(&used), named(&[("a", 1), ("b", 20)]), "the last good state stays");
 }
 
-/// A process that takes its place anew is told all: what came before and does not come again is gone.
+/// A process that joins again receives the complete state: classes that are not in it are removed.
 #[test]
 fn the_first_changes_after_joining_replace_all_earlier_ones() {
     let mut classes = Classes::new(&file(&[class("a", 1)]));
--- a/src/daemon/distribution/publisher.rs
+++ b/src/daemon/distribution/publisher.rs
@@ -1,36 +1,37 @@
-//! What a replica publishes while it holds the lease: how its own source differs from what is committed. Its source is
-//! its configuration file with its classes and list, and discovery that it follows.
+//! What a replica publishes while it holds the lease: the differences between its own source and the committed records.
+//! The source is the classes and the list of its configuration file, and the discovery service that it follows.
 
 use crate::fleet::distribution::{Change, Key, PublishError, Topic, Value};
 use crate::interface::ZoneId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Changes that are handed over at a time: the rest waits here, so that a whole list is not held twice.
+/// Changes passed to the node at a time. The rest waits here, so that a complete list is not held twice.
 const MAX_CHANGES_PER_TICKET: usize = 256;
 
-/// What is still to be published, and what is under way.
+/// What is still to be published, and what is in flight.
 #[derive(Default)]
 pub(super) struct Publisher {
-    /// The fence of the lease, while it is held.
+    /// The fence of the publish lease, while it is held.
     pub(super) fence: Option<u64>,
-    /// All of the source is to be compared with all that is committed.
+    /// The complete source is to be compared with all committed records.
     compare_all: bool,
-    /// Records of the source that have changed since they were compared.
+    /// Keys of the source whose records have changed since they were last compared.
     changed: BTreeSet<Key>,
     queue: VecDeque<Vec<Change>>,
-    /// The ticket under way, with its changes.
-    ticket: u64,
+    /// The last ticket issued.
+    last_ticket: u64,
+    /// The ticket in flight, with its changes.
     in_flight: Option<(u64, Vec<Change>)>,
-    /// Why nothing of the source is published, as last logged.
+    /// Why publishing is paused, as last logged.
     pub(super) pause_reason: Option<&'static str>,
 }
 
-/// What is to be done next.
+/// The next step of the publisher.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Next {
-    /// Nothing, or nothing yet.
+    /// Nothing is to be done, or a ticket is in flight.
     Nothing,
-    /// Compare all of the source.
+    /// Compare the complete source.
     CompareAll,
     /// Compare these records of the source.
     Compare(BTreeSet<Key>),
@@ -39,44 +40,44 @@
 }
 
 impl Publisher {
-    /// The lease is held under this fence, or no longer.
+    /// Notes that the lease is held under this fence, or no longer held.
     pub(super) fn lease(&mut self, fence: Option<u64>) {
         if self.fence != fence {
             *self = Publisher {
                 fence,
                 compare_all: fence.is_some(),
-                ticket: self.ticket,
+                last_ticket: self.last_ticket,
                 ..Publisher::default()
             };
         }
     }
 
-    /// These records of the source have changed.
+    /// Notes that these records of the source have changed.
     pub(super) fn mark_changed(&mut self, keys: impl IntoIterator<Item = Key>) {
         if self.fence.is_some() && !self.compare_all {
             self.changed.extend(keys);
         }
     }
 
-    /// Any record of the source may have changed.
+    /// Notes that any record of the source may have changed.
     pub(super) fn mark_all_changed(&mut self) {
         self.compare_all = self.fence.is_some();
     }
 
-    /// Whether anything waits.
+    /// Whether there is anything to compare or publish, and no ticket is in flight.
     pub(super) fn has_work(&self) -> bool {
         self.in_flight.is_none() && (self.compare_all || !self.changed.is_empty() || !self.queue.is_empty())
     }
 
-    /// What is to be done next, for a process that may publish now.
+    /// Returns the next step of a process that may publish now.
     pub(super) fn next(&mut self) -> Next {
         if self.in_flight.is_some() {
             return Next::Nothing;
         }
         if let Some(changes) = self.queue.pop_front() {
-            self.ticket += 1;
-            self.in_flight = Some((self.ticket, changes.clone()));
-            return Next::Publish(self.ticket, changes);
+            self.last_ticket += 1;
+            self.in_flight = Some((self.last_ticket, changes.clone()));
+            return Next::Publish(self.last_ticket, changes);
         }
         if self.compare_all {
             return Next::CompareAll;
@@ -87,8 +88,8 @@
         }
     }
 
-    /// The source was compared, and differs so. What all of it was compared with may have been behind, so that is
-    /// done again until nothing differs.
+    /// Queues the differences that a comparison has found. The records that the complete source was compared with may have
+    /// been out of date, so that comparison is repeated until it finds none.
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
     pub(super) fn compared(&mut self, all: bool, changes: Vec<Change>) {
         if all {
@@ -98,13 +99,13 @@
         self.queue.extend(changes.chunks(MAX_CHANGES_PER_TICKET).map(<[Change]>::to_vec));
     }
 
-    /// A ticket's changes are committed; how many.
+    /// Notes that a ticket's changes are committed, and returns their number; `None` if the ticket is not in flight.
     pub(super) fn published(&mut self, ticket: u64) -> Option<usize> {
         let (_, changes) = self.in_flight.take_if(|(in_flight, _)| *in_flight == ticket)?;
         Some(changes.len())
     }
 
-    /// A ticket's changes were not published, or are not known to be.
+    /// Notes that a ticket's changes were not published, or may not have been.
     pub(super) fn not_published(&mut self, ticket: u64, why: &PublishError) {
         let Some((_, changes)) = self.in_flight.take_if(|(in_flight, _)| *in_flight == ticket) else {
             return;
@@ -115,7 +116,8 @@
                 self.queue.clear();
                 self.compare_all = self.fence.is_some();
             }
-            // Compared again it would only be refused again. The first state of a domain is not whole without it.
+            // A retry would be rejected again. The first state of a domain is not complete without these changes, so the mark
+            // that it is complete is not published.
             PublishError::Invalid(_) => {
                 self.compare_all = false;
                 self.queue
@@ -127,7 +129,7 @@
     }
 }
 
-/// Where a record belongs.
+/// The topic of a record.
 pub(super) fn topic(value: &Value) -> Topic {
     match value {
         Value::Worker(worker) => Topic::workers_of(ZoneId(worker.zone)),
@@ -135,12 +137,12 @@
     }
 }
 
-/// The mark that a domain's first state is whole.
+/// The record that marks a domain's first state as complete.
 pub(super) fn complete() -> Change {
     Change { topic: Topic::SETTINGS, key: Key::Complete, value: Some(Value::Complete) }
 }
 
-/// What makes the source of what is committed: classes first, for what they say may be refused.
+/// The changes that turn the committed records into the source. Classes come first, because they may be rejected.
 pub(super) fn difference<'a>(
     mut source: BTreeMap<Key, Value>,
     committed: impl Iterator<Item = (&'a Key, &'a Value)>,
@@ -158,7 +160,7 @@
     let (classes, workers): (Vec<_>, Vec<_>) = source.into_iter().partition(|(key, _)| is_class(key));
     let mut changes = vec![];
     for (key, value) in classes.into_iter().chain(workers) {
-        // It has moved: both changes are to come at once.
+        // The record has moved to another topic: both changes are adjacent, so that they take effect together.
         changes.extend(obsolete.remove(&key).map(|topic| removal(&key, topic)));
         changes.push(Change { topic: topic(&value), key, value: Some(value) });
     }
--- a/src/daemon/fleet.rs
+++ b/src/daemon/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemon as one process of a fleet: sends and receives the datagrams of its [`FleetNode`], and applies its outputs.
+//! The daemon as a process of a fleet: sends and receives the datagrams of its [`FleetNode`], and applies its outputs.
 
 use super::Daemon;
 use crate::config::{self, Config};
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use tracing::{error, info, warn};
 
-/// Interval between attempts to bind the fleet's address, while the old process has it.
+/// Interval between attempts to bind the fleet's address while the old process has it.
 const BIND_RETRY_INTERVAL: Duration = Duration::millis(50);
 
 /// This daemon's membership of its fleet.
@@ -23,7 +23,7 @@
     node: Rc<RefCell<FleetNode>>,
     socket: usize,
     parts: u16,
-    /// When the demand is to be published next, where the fleet sheds load together.
+    /// When the demand is to be published next, if the fleet sheds load together.
     demand_at: Option<Timestamp>,
     /// Whether any load was shed when the admission level was last logged.
     sheds: bool,
@@ -32,7 +32,7 @@
 }
 
 impl Member {
-    /// A process that has just started; whether it may publish for its domain.
+    /// Binds the fleet's address for a process that has just started; `publishes` says whether it may publish for its domain.
     pub(super) fn new(
         setting: &config::Fleet,
         publishes: bool,
@@ -64,7 +64,7 @@
             parts: setting.parts,
             shed_latency_objective: setting.shed.then(|| config.site.soonest()),
             publishes,
-            // Fences grow by far less than one a millisecond. Nothing else here rests on the time of day.
+            // Fences grow by far less than one per millisecond. Nothing else here depends on the time of day.
             fence_floor: now.0 / 1_000_000,
         };
         let parts = setting.parts;
@@ -87,7 +87,7 @@
 }
 
 impl Daemon {
-    /// Starts to take part in the tasks of the fleet.
+    /// Starts to take part in the fleet's tasks.
     pub(super) fn join_fleet(&mut self) {
         let Some(member) = &self.fleet else { return };
         self.reactor.fleet = Some(member.node.clone());
@@ -96,7 +96,7 @@
     }
 
     /// Leaves or rejoins the fleet at an upgrade: the member is the process that accepts clients. An old process leaves
-    /// when it closes its listener, and rejoins if the new process ends first.
+    /// when it closes its listener, and rejoins if the new process exits first.
     pub(super) fn join_or_leave_fleet(&mut self, open: bool) {
         if self.operator.fleet.is_none() {
             return;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Binds the fleet's address and joins, or tries again later while another process has the address.
+    /// Binds the fleet's address and joins, or schedules a retry while another process has the address.
     pub(super) fn retry_join_fleet(&mut self) {
         let now = self.reactor.now();
         let Some(setting) = self.operator.fleet.clone().filter(|_| self.fleet.is_none()) else { return };
@@ -135,14 +135,14 @@
         }
     }
 
-    /// When the fleet is to be handled next.
+    /// When the fleet's next timer expires.
     pub(super) fn fleet_timeout(&self) -> Option<Timestamp> {
         let due = self.fleet.as_ref().and_then(|member| member.node.borrow().next_timeout());
         let demand = self.fleet.as_ref().and_then(|member| member.demand_at);
         due.into_iter().chain(demand).chain(self.fleet_retry_at).min()
     }
 
-    /// Publishes the recent demand at this process, when it is due.
+    /// Publishes the recent demand at this process when it is due.
     pub(super) fn publish_demand(&mut self) {
         let now = self.reactor.now();
         let Some(demand_at) = self.fleet.as_mut().and_then(|member| member.demand_at.as_mut()) else {
@@ -156,11 +156,12 @@
         self.handle_fleet(FleetInput::Demand(demand));
     }
 
+    /// Whether this is the fleet's socket.
     pub(super) fn is_fleet_socket(&self, socket: usize) -> bool {
         self.fleet.as_ref().is_some_and(|member| member.socket == socket)
     }
 
-    /// Receives pending datagrams. The time is read after each datagram was received: a grant that it contains counts from a
+    /// Receives pending datagrams. The time is read after each one was received: a grant that it contains counts from a
     /// time no earlier than it was sent, however long this process was suspended in between.
     pub(super) fn receive_fleet_datagrams(&mut self) {
         let mut bytes = [0; LARGEST + 1];
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Passes an input to the node, and carries out its outputs.
+    /// Passes an input to the node and executes its outputs.
     pub(super) fn handle_fleet(&mut self, input: FleetInput) {
         let now = self.reactor.now();
         let Some(member) = &self.fleet else { return };
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Carries out an output of the node other than a change of leases.
+    /// Executes an output of the node other than a change of leases.
     fn execute_fleet_output(&mut self, now: Timestamp, output: FleetOutput) {
         let Some(member) = &mut self.fleet else { return };
         match output {
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,5 +1,5 @@
-//! New configurations: SIGHUP has the files read on a thread of their own, for a long list takes far longer to parse
-//! than requests may wait, and what was read is checked and put in force between two turns of the loop.
+//! Reloads: at SIGHUP a separate thread reads the files, as parsing a long list takes far longer than requests may wait.
+//! The result is checked and applied between two turns of the loop.
 
 use super::Daemon;
 use crate::backend;
@@ -15,36 +15,36 @@
 
 type ReadResult = Result<(Config, Operator), String>;
 
-/// Where the files' readers say that they are done, and the one that is at work.
+/// The reload in progress, and the pipe on which its thread reports that it is done.
 pub(super) struct Reloads {
     done: UnixStream,
     reading: Option<Receiver<(ReadResult, Duration)>>,
-    /// The files have changed again since they were opened.
+    /// Another reload was requested while the files were being read.
     requested_again: bool,
 }
 
 impl Reloads {
-    /// The writing end of the pipe that tells the loop of files that were read.
+    /// `done` is the write end of the pipe that wakes the loop when the files have been read.
     pub(super) fn new(done: UnixStream) -> Reloads {
         Reloads { done, reading: None, requested_again: false }
     }
 }
 
-/// Reads both files; events of discovery up to this number are checked and left out.
+/// Reads both files and measures how long that takes. Discovery events up to `offset` are checked but omitted.
 fn read(sources: &Sources, offset: u64) -> (ReadResult, Duration) {
     let start = Instant::now();
     let read = catch_unwind(AssertUnwindSafe(|| sources.read_after(Some(offset)).map_err(String::from)));
-    (read.unwrap_or_else(|_| Err("a fault while they were read".to_owned())), start.elapsed())
+    (read.unwrap_or_else(|_| Err("reading the files panicked".to_owned())), start.elapsed())
 }
 
 impl Daemon {
-    /// SIGHUP: both files are read whole and checked before anything of them is used; where one is bad, all
-    /// stays as it was. Calls under way go on, and so do connections.
+    /// Handles SIGHUP: reads and checks both files completely before anything in them is applied. If one is invalid, nothing
+    /// changes. Open requests and connections continue.
     pub(super) fn reload(&mut self) {
         if self.reloads.reading.is_some() {
             return self.reloads.requested_again = true;
         }
-        // Where the list comes from elsewhere all of it is known.
+        // If the list comes from the domain, none of the file's events is needed.
         let offset = if self.list_is_distributed() { u64::MAX } else { self.received_events.borrow().offset };
         let sources = self.sources.clone();
         let (sender, receiver) = channel();
@@ -56,7 +56,7 @@
         });
         match started {
             Ok(_) => self.reloads.reading = Some(receiver),
-            // Without a thread requests wait meanwhile.
+            // No thread could be started: the files are read here, and requests wait meanwhile.
             Err(_) => {
                 let (read, took) = read(&self.sources, offset);
                 self.apply_files(read, took);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The files have been read.
+    /// Applies the files that were read, and starts the next reload if one was requested in the meantime.
     pub(super) fn finish_reload(&mut self) {
         let Some(read) = self.reloads.reading.as_ref().and_then(|reading| reading.try_recv().ok()) else {
             return;
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Checks what was read and applies it, or logs why it is refused.
     fn apply_files(&mut self, read: ReadResult, took: Duration) {
         let start = Instant::now();
         let check_and_reload_fronts = |(config, operator): (Config, Operator)| {
@@ -97,9 +98,11 @@
         info!(offset, read_us, applied_us = start.elapsed().as_micros() as u64, "reloaded");
     }
 
+    /// Replaces the configuration and the operator's file with checked ones. `file` is the configuration without the
+    /// classes that the domain has distributed.
     fn apply_config(&mut self, file: Option<Config>, mut config: Config, operator: Operator) {
         let now = self.reactor.now();
-        // What can only be had at a start stays as it is, and is said.
+        // Settings that take effect only at a start stay as they are, and a difference is logged.
         let restart_only = [
             ("listen", config.listen.port() != 0 && config.listen != self.config.listen),
             ("mgmt", config.mgmt != self.config.mgmt && config.mgmt.is_none_or(|at| at.port() != 0)),
@@ -125,7 +128,7 @@
         self.apply_limits();
         self.replace_checkers(now);
         self.set_list_source();
-        // Discovery's numbers go on. What the file knows is of use where it follows on what is known here.
+        // Offsets continue across the reload. The file's events are used if they follow the last one received here.
         self.advance_discovery(now);
         for event in known {
             let mut received = self.received_events.borrow_mut();
@@ -142,7 +145,7 @@
         self.configuration_replaced(file, &before);
     }
 
-    /// What can only be had at a start stays as it is.
+    /// Keeps the settings that take effect only at a start.
     pub(super) fn keep_restart_only_settings(&self, config: &mut Config) {
         (config.listen, config.mgmt) = (self.config.listen, self.config.mgmt);
         config.name.clone_from(&self.config.name);
@@ -150,8 +153,8 @@
         config.site.kinds.clone_from(&self.config.site.kinds);
     }
 
-    /// The second front's part of the operator's file. Its socket moves if the file names another; clients
-    /// that are connected stay. Where the new socket cannot be had nothing has changed.
+    /// Applies the JSON-RPC front's settings. If the file names another socket, that one is bound in place of the old one,
+    /// and connected clients stay. If binding fails, nothing changes.
     fn reload_fronts(&mut self, operator: &Operator) -> io::Result<()> {
         let path = |operator: &Operator| operator.jsonrpc.as_ref().map(|front| front.socket.clone());
         let same = path(operator) == path(&self.operator);
@@ -169,6 +172,7 @@
         Ok(())
     }
 
+    /// Replaces the checkers by those of the new operator's file.
     fn replace_checkers(&mut self, now: Timestamp) {
         let old = std::mem::take(&mut self.checkers);
         for (member, path) in self.operator.members(&self.config.site) {
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -1,4 +1,4 @@
-//! The daemon as a virtual router: its advertisements, and whether it takes new requests on the second front.
+//! The daemon as a VRRP router: its advertisements, and whether it accepts new requests on the JSON-RPC front.
 
 use super::Daemon;
 use crate::config;
@@ -9,7 +9,7 @@
 use std::io;
 use tracing::{info, warn};
 
-/// The virtual router that decides whether this daemon takes new requests on the second front.
+/// The virtual router whose state decides whether this daemon accepts new requests on the JSON-RPC front.
 pub(super) struct Router {
     machine: vrrp::Machine,
     setting: config::Vrrp,
@@ -17,6 +17,7 @@
 }
 
 impl Router {
+    /// Binds the router's socket.
     pub(super) fn new(setting: &config::Vrrp, reactor: &mut Reactor) -> io::Result<Router> {
         let (socket, own) = reactor.bind_datagram_socket(setting.bind)?;
         let machine = vrrp::Machine::new(vrrp::Setting {
@@ -28,7 +29,7 @@
         Ok(Router { machine, setting: setting.clone(), socket })
     }
 
-    /// When the virtual router is to be handled next.
+    /// When the virtual router's next timer expires.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
         self.machine.next_timeout()
     }
@@ -40,6 +41,7 @@
 }
 
 impl Daemon {
+    /// Passes an event to the virtual router, sends its advertisement, and applies its state.
     pub(super) fn handle_vrrp(&mut self, event: Event) {
         let Some(router) = &mut self.router else { return };
         let (now, before) = (self.reactor.now(), router.machine.state());
@@ -56,6 +58,7 @@
         }
     }
 
+    /// Receives pending advertisements.
     pub(super) fn receive_vrrp_datagrams(&mut self, socket: usize) {
         let mut bytes = [0; LARGEST + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the daemon: what is still accepted and answered after SIGTERM, and when the process ends.
+//! Shutdown: what the daemon still accepts and answers after SIGTERM, and when the process exits.
 
 use super::Daemon;
 use crate::fleet::FleetInput;
@@ -7,38 +7,38 @@
 use crate::vrrp::Event;
 use tracing::info;
 
-/// After SIGTERM clients still come for a while; nothing ends before this, unless SIGKILL may come sooner.
+/// New clients still connect for this long after SIGTERM. The process does not exit before, unless SIGKILL may come sooner.
 const DRAIN_TIME: Duration = Duration::millis(1_200);
-/// Requests on open connections come until 0.6 s after SIGTERM, as the protocol has it; nothing ends before that.
+/// The process never exits before this: by the protocol, requests on open connections arrive until 0.6 s after SIGTERM.
 const MIN_DRAIN_TIME: Duration = Duration::millis(650);
-/// When connections that came after SIGTERM are told that they are to leave, and what still comes is refused at once:
-/// SIGKILL may come a longest deadline after this, and what it finds unanswered is lost.
+/// When connections opened after SIGTERM are asked to leave, and new requests are refused at once: SIGKILL may come a
+/// longest deadline after this, and requests that are unanswered then are lost.
 const REJECT_AFTER: Duration = Duration::millis(700);
-/// How long answers may still wait to be read after [`DRAIN_TIME`]: SIGKILL comes 3.7 s after SIGTERM, or later.
+/// How long after [`DRAIN_TIME`] answers may remain unread: SIGKILL comes 3.7 s after SIGTERM, or later.
 const UNREAD_ANSWER_TIMEOUT: Duration = Duration::millis(2_200);
-/// So long after SIGTERM a request half read is still waited for, where a younger process takes the clients.
+/// How long after SIGTERM the rest of a partly received request is waited for, if a newer process accepts the clients.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::millis(3_000);
-/// SIGKILL comes so long after the longest deadline at the earliest.
+/// SIGKILL comes no earlier than this, plus the longest deadline, after SIGTERM.
 const KILL_AFTER_DEADLINE: Duration = Duration::millis(700);
-/// The longest deadline that counts for that.
+/// Longer deadlines count as this one in the time of SIGKILL.
 const MAX_KILL_DEADLINE: Duration = Duration::millis(3_000);
-/// The process is to have ended so long before SIGKILL.
+/// The process exits at least this long before SIGKILL.
 const KILL_MARGIN: Duration = Duration::millis(250);
 
-/// The times of one shutdown.
+/// The times of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ShutdownTimes {
     since: Timestamp,
-    /// From when on new requests are refused at once.
+    /// From this time new requests are refused at once.
     reject_at: Timestamp,
-    /// From when on the process ends as soon as nothing is outstanding.
+    /// From this time the process exits as soon as nothing is outstanding.
     end_at: Timestamp,
-    /// Until when clients may read their answers.
+    /// The process stops waiting for clients to read their answers at this time.
     give_up_at: Timestamp,
 }
 
 impl ShutdownTimes {
-    /// Those of a shutdown that begins now, where requests have at most this deadline.
+    /// The times of a shutdown that begins now, when requests have at most this deadline.
     pub(super) fn new(now: Timestamp, longest_deadline: Duration) -> ShutdownTimes {
         let before_kill = longest_deadline.min(MAX_KILL_DEADLINE).0 + KILL_AFTER_DEADLINE.0 - KILL_MARGIN.0;
         let drain_time = DRAIN_TIME.min(Duration(before_kill)).max(MIN_DRAIN_TIME);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The next of them.
+    /// The next of these times.
     fn next(&self, now: Timestamp) -> Option<Timestamp> {
         let mut times = [self.reject_at, self.end_at, self.give_up_at];
         times.sort_unstable();
@@ -59,7 +59,7 @@
 }
 
 impl Daemon {
-    /// SIGTERM: no longer ready, clients are asked to leave, but what still comes is taken and answered.
+    /// Handles SIGTERM: the daemon is no longer ready and asks its clients to leave, but still accepts and answers requests.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown.is_some() {
             return;
@@ -76,6 +76,7 @@
         self.send_leave_to_all();
     }
 
+    /// Asks the clients of all connections to leave.
     fn send_leave_to_all(&mut self) {
         for id in self.reactor.ids() {
             self.reactor.with_connection(id, &mut self.core, |connection, link, context| {
@@ -84,21 +85,22 @@
         }
     }
 
+    /// When the next step of the shutdown is due.
     pub(super) fn next_shutdown_step(&self) -> Option<Timestamp> {
         self.shutdown?.next(self.reactor.now())
     }
 
-    /// Whether what is left to be read and written is waited for no longer.
+    /// Whether the process no longer waits for outstanding input and output.
     pub(super) fn shutdown_overdue(&self) -> bool {
         self.shutdown.is_some_and(|times| self.reactor.now() >= times.give_up_at)
     }
 
-    /// Whether a younger process takes the clients.
+    /// Whether a newer process accepts the clients.
     fn newer_process_accepts(&self) -> bool {
         self.upgrade.as_ref().is_some_and(|upgrade| upgrade.machine.yielded())
     }
 
-    /// Refuses new requests once it is time for that.
+    /// Refuses new requests once [`ShutdownTimes::reject_at`] is reached.
     pub(super) fn advance_shutdown(&mut self) {
         let Some(times) = self.shutdown else { return };
         if self.reactor.now() >= times.reject_at && !self.notified_late_clients {
@@ -108,7 +110,7 @@
         self.core.rejecting_new = self.notified_late_clients && !self.newer_process_accepts();
     }
 
-    /// Whether nothing is outstanding any more, so that the process may end.
+    /// Whether the shutdown is complete: nothing is outstanding, so the process may exit.
     pub(super) fn may_exit(&self) -> bool {
         let Some(times) = self.shutdown else { return false };
         let now = self.reactor.now();
--- a/src/daemon/shutdown/tests.rs
+++ b/src/daemon/shutdown/tests.rs
@@ -2,7 +2,7 @@
 
 const SHUTDOWN_AT: Timestamp = Timestamp(1_000_000_000_000);
 
-/// The process is gone before SIGKILL may come, and serves for as long as clients still come.
+/// The process exits before SIGKILL may come, and serves for as long as clients still connect.
 #[test]
 fn short_deadlines_end_the_drain_before_the_earliest_sigkill() {
     let cases =
@@ -25,7 +25,7 @@
         steps.push((next - SHUTDOWN_AT).whole_millis());
         now = next;
     }
-    assert_eq!(steps, [700, 3_400], "the end and the refusals fall together");
+    assert_eq!(steps, [700, 3_400], "rejection and the end of the drain coincide");
     let times = ShutdownTimes::new(SHUTDOWN_AT, Duration::millis(60_000));
     assert_eq!(times.next(SHUTDOWN_AT), Some(SHUTDOWN_AT + REJECT_AFTER));
     assert_eq!(times.next(SHUTDOWN_AT + REJECT_AFTER), Some(SHUTDOWN_AT + DRAIN_TIME));
--- a/src/daemon/upgrade.rs
+++ b/src/daemon/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: what the daemon does as an old and as a new process of its scheduler.
+//! Upgrades: what the daemon does as the old and as the new process of its scheduler.
 
 use super::{Daemon, RESERVED_DESCRIPTORS, Router, descriptors, limit_memory, worker_limits};
 use crate::backend::Endpoint;
@@ -19,42 +19,45 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Descriptors that a process goes on needing beside those it holds when another comes.
+/// Descriptors that a process needs in addition to those it holds when a newer process starts.
 const SPARE_DESCRIPTORS: usize = 8;
-/// How soon the old process's places are tried again that could not be had.
+/// Interval between attempts to take over the old process's sockets and addresses.
 const ENDPOINT_RETRY_INTERVAL: Duration = Duration::millis(100);
-/// How soon the configuration is written again where the folder did not take it.
+/// Interval between attempts to save the configuration after a write has failed.
 const SAVE_RETRY_INTERVAL: Duration = Duration::millis(500);
-/// Connections that may stand at the upgrade socket.
+/// Maximum number of connections at the upgrade socket.
 const MAX_PEERS: usize = 4;
 
-/// The processes of this scheduler that run at a time: one, but for upgrades.
+/// The state of this process among the processes of its scheduler: there is one, except during an upgrade.
 pub(super) struct Upgrade {
     pub(super) machine: HandoverState,
     queue: Rc<RefCell<InputQueue>>,
-    /// Where they meet; the listener there, once this one serves.
+    /// The upgrade socket, where a newer process connects.
     socket_path: PathBuf,
+    /// The listener of the upgrade socket, once this process serves.
     listener: Option<(usize, SocketFile)>,
-    /// Where the last good configuration is kept for the next one.
+    /// The file in which the last valid configuration is saved for the next process.
     saved_config: PathBuf,
-    /// When to try again to take the old process's places.
+    /// When to try again to take over the old process's sockets and addresses.
     endpoints_retry_at: Option<Timestamp>,
-    /// What was said to be missing.
+    /// The failures that have been logged.
     warned: BTreeSet<&'static str>,
-    /// When to try again to keep it.
+    /// When to try again to save the configuration.
     save_retry_at: Option<Timestamp>,
+    /// The connections at the upgrade socket.
     peers: Vec<u64>,
-    /// How many share the limits; meanwhile, the descriptors that connections of this one may take.
+    /// How many processes share the limits.
     process_count: usize,
+    /// Descriptors that this process's connections may use while there is another process.
     descriptor_cap: Option<usize>,
-    /// Descriptors that the older one goes on holding, as it has just said.
+    /// Descriptors that the older process keeps, as it has just reported; 0 if it has reported none.
     held_descriptors: usize,
-    /// Why this one must not start.
+    /// Why this process must not start.
     pub(super) failed: Option<HandoverError>,
 }
 
 impl Upgrade {
-    /// A process that has just started on a passed listener.
+    /// The state of a process that has just started on a passed listener.
     pub(super) fn new(name: &str) -> Upgrade {
         Upgrade {
             machine: HandoverState::new(name),
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Tells the log what cannot be had, which is tried again and again.
+    /// Logs a failure once, although the operation is retried.
     fn warn_once(&mut self, what: &'static str, why: &io::Error) {
         if self.warned.insert(what) {
             warn!(%why, "{what}");
@@ -82,15 +85,15 @@
 }
 
 impl Daemon {
-    /// Descriptors that connections of this process may take: all but what is reserved, and what another
+    /// Descriptors that this process's connections may use: all except those that are reserved and those that another
     /// process of this scheduler holds.
     pub(super) fn descriptors(&self) -> usize {
         let all = descriptors(&self.config);
         self.upgrade.as_ref().and_then(|upgrade| upgrade.descriptor_cap).unwrap_or(all)
     }
 
-    /// So many processes share the limits now. The older one gives back what lies idle and keeps what it has;
-    /// the younger one may take the rest.
+    /// Adapts the limits to the number of processes that share them. The older process closes idle connections and keeps
+    /// the others; the newer one may use the remaining descriptors.
     fn set_process_count(&mut self, process_count: usize) {
         let all = descriptors(&self.config);
         let Some(upgrade) = &mut self.upgrade else { return };
@@ -109,6 +112,7 @@
         self.apply_limits();
     }
 
+    /// Applies the configured limits on connections and memory.
     pub(super) fn apply_limits(&mut self) {
         let process_count = self.upgrade.as_ref().map_or(1, |upgrade| upgrade.process_count);
         let (limits, connect) = worker_limits(&self.config);
@@ -116,12 +120,13 @@
         limit_memory(&self.config, process_count, &mut self.core, &mut self.reactor);
     }
 
+    /// Whether this is the listener of the upgrade socket.
     pub(super) fn is_handover_listener(&self, listener: usize) -> bool {
         let own = self.upgrade.as_ref().and_then(|upgrade| upgrade.listener.as_ref());
         own.is_some_and(|(number, _)| *number == listener)
     }
 
-    /// A process that comes to meet this one; one too many finds its connection closed.
+    /// Adds a connection at the upgrade socket, or closes it if there are [`MAX_PEERS`] already.
     pub(super) fn admit_peer(&mut self, stream: Stream) {
         let Some(upgrade) = &mut self.upgrade else { return };
         upgrade.peers.retain(|id| self.reactor.inspect(*id, |_| ()).is_some());
@@ -133,7 +138,7 @@
         upgrade.peers.extend(peer);
     }
 
-    /// Tells the machine what has happened, and what waits for it, and does what it says.
+    /// Passes an input and all queued ones to the handover's state machine, and executes its outputs.
     pub(super) fn handle_handover(&mut self, input: HandoverInput) {
         let mut inputs = VecDeque::from([input]);
         loop {
@@ -147,15 +152,16 @@
         }
     }
 
+    /// Executes an output of the handover; returns an input if that has failed.
     fn execute_handover_output(&mut self, now: Timestamp, output: HandoverOutput) -> Option<HandoverInput> {
         let upgrade = self.upgrade.as_mut()?;
         match output {
             HandoverOutput::Connect => {
                 let stream = match self.reactor.connect_unix(&upgrade.socket_path) {
                     Ok(stream) => stream,
-                    // What the old one knows must not be lost for a moment without sockets.
+                    // A temporary lack of descriptors must not lose the old process's state.
                     Err(e) if is_transient(&e) => return Some(HandoverInput::ConnectFailed),
-                    // Nobody listens, or nobody can under such a name.
+                    // No process listens there, or the path is not valid for a socket.
                     Err(_) => return Some(HandoverInput::NoPeer),
                 };
                 let connection = Box::new(PeerConnection::new(upgrade.queue.clone(), true));
@@ -197,6 +203,7 @@
         None
     }
 
+    /// Sends a message to a process at the upgrade socket.
     fn send_to_peer(&mut self, peer: u64, message: &Message) {
         let bytes = message::write(message);
         self.reactor.with_connection(peer, &mut self.core, |_, link, _| {
@@ -205,8 +212,8 @@
         });
     }
 
-    /// Takes those of the old process's places that this one has not yet: where the next process meets it, the second
-    /// front's socket file, and the virtual router. What cannot be had now is tried again.
+    /// Takes over what the old process still has: the upgrade socket, the JSON-RPC front's socket file and the virtual
+    /// router's address. Schedules a retry for those that are not available yet.
     fn take_endpoints(&mut self, now: Timestamp) {
         if !self.upgrade.as_ref().is_some_and(|upgrade| upgrade.machine.serves()) {
             return;
@@ -222,8 +229,8 @@
         }
     }
 
-    /// Nobody has taken clients until now, where no older process is there, and nobody can tell how long those at the listener
-    /// have waited: what they have asked for counts as late.
+    /// Accepts the clients that have waited at the listener if there is no older process. No process has accepted clients
+    /// until now, so the time that they have waited is unknown, and their requests count as late.
     fn accept_waiting_clients(&mut self) {
         if self.upgrade.as_ref().is_some_and(|upgrade| !upgrade.machine.has_older_process()) {
             self.reactor.lower_arrival_bound(ClockReading::UNKNOWN);
@@ -231,7 +238,7 @@
         }
     }
 
-    /// Tries again to take what could not be had.
+    /// Retries [`Daemon::take_endpoints`] when that is due.
     pub(super) fn retry_take_endpoints(&mut self) {
         let now = self.reactor.now();
         if self.endpoints_timeout().is_some_and(|at| at <= now) {
@@ -239,12 +246,12 @@
         }
     }
 
-    /// When [`Daemon::retry_take_endpoints`] has something to do.
+    /// When [`Daemon::retry_take_endpoints`] is due.
     pub(super) fn endpoints_timeout(&self) -> Option<Timestamp> {
         self.upgrade.as_ref()?.endpoints_retry_at
     }
 
-    /// Where the next process cannot meet this one, an upgrade has to do without what it knows.
+    /// Binds the upgrade socket. Without it the next process cannot connect, and starts without this one's state.
     fn take_handover_socket(&mut self) {
         let Some(upgrade) = self.upgrade.as_mut().filter(|upgrade| upgrade.listener.is_none()) else {
             return;
@@ -256,7 +263,8 @@
         }
     }
 
-    /// The second front's socket file is the old process's until now. Its clients are answered there.
+    /// Binds the JSON-RPC front's socket file, which the old process has had until now. The old process still answers its
+    /// own clients.
     fn take_second_front(&mut self) {
         let Some(front) = self.operator.jsonrpc.as_ref().filter(|_| self.rpc.is_none()) else { return };
         let replaced = socket::replace(&front.socket, front.mode);
@@ -270,7 +278,7 @@
         }
     }
 
-    /// Keeps the configuration in use, in case another process starts while a broken file is in place.
+    /// Saves the configuration in use, in case the next process starts while the configured file is invalid.
     pub(super) fn save_config(&mut self) {
         let now = self.reactor.now();
         let Some(upgrade) = self.upgrade.as_mut().filter(|upgrade| upgrade.machine.serves()) else { return };
@@ -291,7 +299,7 @@
         }
     }
 
-    /// Tries again to keep the configuration, where the folder did not take it.
+    /// Retries [`Daemon::save_config`] after a write has failed, when that is due.
     pub(super) fn retry_save_config(&mut self) {
         let now = self.reactor.now();
         if self.save_timeout().is_some_and(|at| at <= now) {
@@ -299,13 +307,13 @@
         }
     }
 
-    /// When [`Daemon::retry_save_config`] has something to do.
+    /// When [`Daemon::retry_save_config`] is due.
     pub(super) fn save_timeout(&self) -> Option<Timestamp> {
         self.upgrade.as_ref()?.save_retry_at
     }
 
-    /// The address of the virtual router is free once the old process has gone. Whoever is active has to be found at
-    /// the second front's socket file, so that comes first.
+    /// Starts the virtual router, whose address is free once the old process has exited. The active router has to be
+    /// reachable at the JSON-RPC front's socket file, so that file is taken over first.
     fn take_router(&mut self) {
         let serves = self.upgrade.as_ref().is_some_and(|upgrade| upgrade.machine.serves());
         let fronts = self.rpc.is_some() || self.operator.jsonrpc.is_none();
@@ -327,6 +335,7 @@
         }
     }
 
+    /// Opens or closes the clients' listener, and joins or leaves the fleet and the domain with it.
     fn set_accepting(&mut self, open: bool) {
         if self.listener.1 != open && self.reactor.set_accepting(self.listener.0, open).is_ok() {
             self.listener.1 = open;
@@ -336,6 +345,7 @@
         }
     }
 
+    /// The state that the newer process takes over.
     fn transferred_state(&self) -> TransferredState {
         let now = self.reactor.now();
         let transferred = |member: &Member| {
@@ -359,7 +369,8 @@
         }
     }
 
-    /// The old one's list is used where discovery's numbers mean the same to both, and it has heard as much.
+    /// Takes over the old process's state. Its list is used if the checksums show that both follow the same discovery events
+    /// and it has received more of them.
     fn take_over(&mut self, now: Timestamp, state: &TransferredState) {
         let state = &state.in_time_of(now);
         self.core.take_over(now, state);
@@ -369,7 +380,7 @@
         let offset = self.received_events.borrow().offset;
         let same = self.event_sums.back().is_some_and(|last| state.event_sums.contains(last));
         let ahead = same && state.offset > offset;
-        // A list that was distributed is newer than any file's, and discovery's numbers say nothing of it.
+        // A distributed list is newer than any file's, and discovery's offsets do not apply to it.
         let taken = ahead || self.distribution.is_some() && !state.workers.is_empty();
         self.take_over_start_times(now, state, taken);
         if taken {
@@ -386,8 +397,8 @@
         info!(offset = state.offset, out = state.cordoned.len(), "upgrade took over");
     }
 
-    /// Workers are as old as the old process has them: it may have heard of their starts by a clock that was right. Where
-    /// its list is taken, so are the starts of those that were not known here.
+    /// Takes over the workers' ages: the old process may have received their starts while the clock was right. If its list is
+    /// used, so are the starts of the workers that are unknown here.
     fn take_over_start_times(&mut self, now: Timestamp, state: &TransferredState, list_taken: bool) {
         let mut changed = vec![];
         for transferred in &state.workers {
@@ -410,8 +421,8 @@
     }
 }
 
-/// What to start with where the process that serves now has a configuration that the file must not replace: a
-/// new version may come while a broken one is in place.
+/// Reads the configuration and the operator's file. If the file is invalid or may not replace the configuration of the
+/// process that serves now, its saved configuration is used: the program may be upgraded while a bad file is in place.
 pub(super) fn read_config_or_saved(sources: &Sources, name: &str) -> Result<(Config, Operator), ConfigError> {
     let read = sources.read();
     let old_process_serves =
@@ -432,11 +443,12 @@
     })
 }
 
+/// The file in which a scheduler's last valid configuration is saved.
 fn saved_config_path(name: &str) -> PathBuf {
     handover_socket_path(name).with_extension("json")
 }
 
-/// Where the processes of this scheduler meet. The name is part of the path, for folders may be shared.
+/// The path of a scheduler's upgrade socket. It contains the name because schedulers may share the folder.
 fn handover_socket_path(name: &str) -> PathBuf {
     let plain: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
     std::env::temp_dir().join(format!("mintgate-{plain}.sock"))
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery stream: a pure codec, and the connection that follows the list of workers.
+//! The discovery stream: its codec, and the connection that follows the list of workers.
 
 use crate::interface::*;
 use crate::net::{Connection, Context, ControlFlow, Link};
@@ -10,24 +10,24 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 
-/// Length of an event's number and kind, with which each frame starts.
+/// Length of a frame's header: the event's offset and kind.
 const FRAME_HEADER_BYTES: usize = 9;
 /// Length of a worker's record.
 const RECORD_BYTES: usize = 27;
-/// Longest frame accepted: some 38,000 workers.
+/// Longest frame accepted, about 38,000 workers.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Without even an empty frame for this long discovery is taken to be dead; it sends one each second.
+/// A connection without a frame for this long is closed. Discovery sends at least an empty frame each second.
 pub const SILENCE_TIMEOUT: Duration = Duration::millis(2_500);
-/// A connection that is not up within this time is opened anew.
+/// A connection that is not established within this time is closed, and a new one is opened.
 pub const CONNECT_TIMEOUT: Duration = Duration::millis(1_200);
-/// First pause before a new connection: a change of the list is in force whether or not it was received here, so a
-/// scheduler is never long without discovery.
+/// First backoff before a new connection. It is short because changes of the list take effect whether or not this
+/// scheduler has received them.
 pub const FIRST_BACKOFF: Duration = Duration::millis(100);
-/// How often the pause doubles at most.
+/// How many times the backoff doubles.
 pub const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// The pause after `failures` failures in a row: between half and all of the full one, so that a fleet that lost
-/// discovery at one moment does not come back at one.
+/// The backoff after `failures` consecutive failures: a random time between half and all of the full one, so that a
+/// fleet that has lost discovery does not reconnect all at once.
 pub fn backoff(failures: u32, rng: &mut impl RngCore) -> Duration {
     if failures == 0 {
         return Duration(0);
@@ -45,19 +45,19 @@
     pub address: SocketAddr,
 }
 
-/// A numbered event.
+/// An event of the discovery stream.
 #[derive(Clone, Debug)]
 pub struct WatchEvent {
-    /// Its number.
+    /// Its number in the stream.
     pub offset: u64,
-    /// The whole list, or changes.
+    /// Whether it holds the complete list or changes.
     pub kind: ListKind,
     /// The workers.
     pub entries: Vec<Entry>,
 }
 
 impl WatchEvent {
-    /// A checksum (FNV-1a) over its content: two processes that have seen the same event agree on it.
+    /// Checksum (FNV-1a) of its content, which is equal in two processes that have received the same event.
     pub fn sum(&self) -> u64 {
         let mut sum = 0xcbf2_9ce4_8422_2325u64;
         let mut add = |value: u64| {
@@ -78,7 +78,7 @@
 /// Why a frame of the discovery stream cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryError {
-    /// Its length is out of bounds.
+    /// Its length is out of range.
     Length,
     /// It ends within its header.
     CutShort,
@@ -88,7 +88,7 @@
     RecordCutShort,
     /// A worker is in an unknown state.
     State,
-    /// Changes lie between it and the frame before it.
+    /// Events are missing between it and the event before it.
     Skipped,
 }
 
@@ -114,11 +114,11 @@
 
 impl std::error::Error for DiscoveryError {}
 
-/// Reads the first frame of a buffer with the bytes it took; no event where it is empty, `Ok(None)` where it
-/// is not complete yet.
+/// Decodes the first frame of a buffer and returns its length in bytes. The event is `None` for an empty frame; the
+/// result is `Ok(None)` for an incomplete one.
 ///
 /// # Errors
-/// The frame is of no known form; the connection cannot go on.
+/// The frame is malformed, so that the connection has to be closed.
 pub fn read_frame(bytes: &[u8]) -> Result<Option<(Option<WatchEvent>, usize)>, DiscoveryError> {
     let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
@@ -141,6 +141,7 @@
     Ok(Some((Some(WatchEvent { offset, kind, entries }), 4 + length)))
 }
 
+/// Decodes a worker's record.
 fn read_record(record: &[u8; RECORD_BYTES]) -> Result<Entry, DiscoveryError> {
     let u16_at = |at: usize| u16::from_be_bytes([record[at], record[at + 1]]);
     let u32_at = |at: usize| u32::from_be_bytes([record[at], record[at + 1], record[at + 2], record[at + 3]]);
@@ -164,34 +165,34 @@
     Ok(Entry { member, address: SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::from_bits(u32_at(4)), port)) })
 }
 
-/// A Unix millisecond of a start; 0 means long ago.
+/// Converts the start of a worker from Unix time in milliseconds; 0 means that it started long ago.
 pub fn started_at(unix_ms: u64) -> Option<Timestamp> {
     (unix_ms > 0).then(|| Timestamp(unix_ms.saturating_mul(1_000_000)))
 }
 
-/// What a connection to discovery leaves for the daemon.
+/// The state that the connections to discovery share with the daemon.
 #[derive(Default)]
 pub struct ReceivedEvents {
-    /// Events in order, not yet acted on.
+    /// Events in order, not yet applied.
     pub events: VecDeque<WatchEvent>,
-    /// The last event's number; a new connection goes on from here.
+    /// The last event's offset, from which a new connection continues.
     pub offset: u64,
-    /// No connection stands or is coming up.
+    /// The last connection has ended, and no new attempt is scheduled yet.
     pub down: bool,
-    /// Connections in a row that ended without a frame.
+    /// Consecutive connections that ended without a frame.
     pub failures: u32,
-    /// A frame has come from this discovery service, whatever it held.
+    /// A frame was received from this discovery service, even an empty one.
     pub received_any: bool,
-    /// The event before which one was left out, and which was asked for anew.
+    /// The offset of the event before which events were missing, and which was requested again.
     pub skipped: Option<u64>,
-    /// When a frame came last.
+    /// When the last frame arrived.
     pub last_frame: Option<Timestamp>,
-    /// Since when every connection has ended without a frame.
+    /// Since when discovery is unreachable: no frame was received since then.
     pub lost_since: Option<Timestamp>,
 }
 
 impl ReceivedEvents {
-    /// A frame that came at that time is read now.
+    /// Notes that a frame which arrived at `arrived` is read now.
     fn note_frame(&mut self, arrived: Timestamp, now: Timestamp) {
         self.failures = 0;
         self.received_any = true;
@@ -201,7 +202,7 @@
         }
     }
 
-    /// A connection has ended; whether discovery had been in reach until then.
+    /// Notes that a connection has ended. Returns whether discovery had been reachable until then.
     fn note_end(&mut self, now: Timestamp, cause: CloseCause) -> bool {
         self.down = true;
         self.failures += 1;
@@ -222,12 +223,12 @@
 }
 
 impl DiscoveryConnection {
-    /// A connection that is coming up at `now`.
+    /// A connection whose attempt starts at `now`.
     pub fn new(received_events: Rc<RefCell<ReceivedEvents>>, now: Timestamp) -> DiscoveryConnection {
         DiscoveryConnection { received_events, times_out_at: now + CONNECT_TIMEOUT }
     }
 
-    /// Takes in a frame. Its event counts only if it is later than all before it: after a new connection some come twice.
+    /// Handles a frame. Its event is ignored unless it is newer than all before: a new connection may repeat some.
     fn handle_frame(
         &mut self,
         event: Option<WatchEvent>,
@@ -238,7 +239,7 @@
         self.times_out_at = now + SILENCE_TIMEOUT;
         received.note_frame(arrived, now);
         let Some(event) = event.filter(|event| event.offset > received.offset) else { return Ok(()) };
-        // Changes lie between: they are asked for once more, on a new connection.
+        // Events are missing: they are requested once more, on a new connection.
         let skips = event.kind == ListKind::Delta && event.offset > received.offset + 1;
         if skips && received.skipped.replace(event.offset) != Some(event.offset) {
             return Err(DiscoveryError::Skipped);
@@ -249,6 +250,7 @@
     }
 }
 
+/// Logs an unreadable frame and closes the connection.
 fn close_unreadable(error: DiscoveryError, link: &mut Link, context: &mut Context) -> ControlFlow {
     context.core.counters().unreadable += 1;
     tracing::warn!(why = error.as_str(), "discovery unreadable");
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -14,7 +14,7 @@
 proptest! {
     #![proptest_config(crate::proptest_config())]
 
-    /// Lists of any length, damaged anywhere: read whole, waited for, or told; never more than was there.
+    /// A list with one damaged byte is decoded, waited for or rejected, and never yields more workers than it had.
     #[test]
     fn damaged_lists_are_read_or_rejected(count in 0usize..400, at in any::<usize>(), byte in any::<u8>()) {
         let records: Vec<u8> = (0..count).flat_map(|n| record((n % 3) as u8)).collect();
@@ -57,12 +57,12 @@
     }
 }
 
-/// A fleet that lost discovery at one moment does not come back at one, and nobody is without it for long.
+/// A fleet that lost discovery at the same time does not reconnect all at once, and no scheduler waits long.
 #[test]
 fn reconnects_are_spread_out() {
     use rand_core::SeedableRng;
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
-    assert_eq!(backoff(0, &mut rng), Duration(0), "at the start at once");
+    assert_eq!(backoff(0, &mut rng), Duration(0), "the first attempt is immediate");
     for (failures, full) in [(1, 100), (2, 200), (3, 400), (4, 400), (u32::MAX, 400)] {
         let mut pauses: Vec<u64> = (0..300).map(|_| backoff(failures, &mut rng).0 / 1_000_000).collect();
         pauses.sort_unstable();
@@ -71,11 +71,11 @@
             let from = full / 2 + full * n / 40;
             pauses.iter().filter(|pause| (from..from + full / 40 + 1).contains(pause)).count()
         });
-        assert!(most.max() < Some(60), "{failures}: no tenth of the time has a fifth of them");
+        assert!(most.max() < Some(60), "{failures}: no tenth of the time has a fifth of the attempts");
     }
 }
 
-/// A connection that never comes up is given up on, and so is one that comes up and says nothing, or half a frame.
+/// A connection has to be established within the connect timeout.
 #[test]
 fn a_connection_that_does_not_come_up_times_out() {
     let now = Timestamp(1_000_000_000_000);
@@ -83,7 +83,8 @@
     assert_eq!(connection.deadline(), Some(now + CONNECT_TIMEOUT));
 }
 
-/// A frame that lay unread while the process stood still says nothing of the time after it came.
+/// A frame that was in the socket buffer while the process was suspended does not count as received later than it
+/// arrived.
 #[test]
 fn a_frame_read_late_counts_from_its_arrival() {
     use std::io::Write;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,12 @@
-//! A scheduler of requests to workers which load programs on demand.
+//! A scheduler of requests to workers that load programs on demand.
 //!
-//! An RPC client that wants the scheduler inside itself starts at [`client`]. [`core`] is the scheduler without
-//! sockets or a clock, [`backend`] and [`front`] are what workers and clients speak, [`daemon`] is the program.
+//! An RPC client that embeds the scheduler uses [`client`]. [`core`] is the scheduler without sockets or a clock,
+//! [`backend`] and [`front`] implement the protocols of workers and clients, and [`daemon`] is the program.
 //!
-//! # The decisions
+//! # The policy
 //!
-//! [`Policy`] is a state machine without clock, I/O or threads: feed it events with the time at which
-//! they happened, carry out the actions that it appends, and call it again when a wake that it asked for
-//! is due.
+//! [`Policy`] is a state machine without a clock, I/O or threads: pass it events with the time at which they happened,
+//! execute the actions that it appends, and call it again when a timer that it has set expires.
 //!
 //! ```
 //! use mintgate::*;
@@ -94,8 +93,8 @@
 pub use interface::*;
 pub use policy::Policy;
 
-/// Property tests draw the same cases each time: a verdict must not change from run to run. Other cases are drawn
-/// with `PROPTEST_RNG_SEED`, more with `PROPTEST_CASES`.
+/// The configuration of property tests: a fixed seed, so that results do not change from run to run. Set
+/// `PROPTEST_RNG_SEED` for other cases and `PROPTEST_CASES` for more.
 #[cfg(test)]
 pub(crate) fn proptest_config() -> proptest::test_runner::Config {
     use proptest::test_runner::{Config, RngSeed};
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines: `tracing` events, to standard error, one line each: as operators read them, or as JSON on request.
+//! Logging: writes `tracing` events to standard error, one line each, as text or as JSON.
 
 use std::fmt::{self, Write};
 use tracing::field::{Field, Visit};
@@ -7,27 +7,28 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Form {
-    /// `mintgate: what happened key=value ...`
+    /// `mintgate: message key=value ...`
     #[default]
     Lines,
-    /// One JSON object a line, with time and level.
+    /// One JSON object per line, with time and level.
     Json,
 }
 
-/// From now on events of this process are written; those of single requests and connections only on request.
+/// Starts to log this process's events; those of single requests and connections only if `traced`.
 pub fn start(form: Form, traced: bool) {
     let level = if traced { Level::DEBUG } else { Level::INFO };
     let all = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr);
-    // A second start in one process changes nothing: the first one writes.
+    // A second call in one process has no effect: the first subscriber stays.
     let _ = match form {
         Form::Lines => all.event_format(Lines).try_init(),
         Form::Json => all.json().flatten_event(true).with_target(false).try_init(),
     };
 }
 
+/// Formats events as [`Form::Lines`].
 struct Lines;
 
 impl<S, N> FormatEvent<S, N> for Lines
@@ -42,12 +43,14 @@
     }
 }
 
+/// The parts of a line, collected from an event's fields.
 struct Line {
     message: String,
     fields: String,
 }
 
 impl Line {
+    /// Adds a field, quoted if its value is empty or contains a space or a quote.
     fn add_field(&mut self, name: &str, text: &str) {
         let _ = if text.contains([' ', '"']) || text.is_empty() {
             write!(self.fields, " {name}=\"{}\"", text.replace('"', "'"))
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Operators' tools read these lines: words as they are, texts in quotes.
+/// Operators' tools parse these lines: values of one word are bare, others are quoted.
 #[test]
 fn lines_have_the_documented_format() {
     let captured = Captured::default();
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler as a program: reads its configuration and serves until a signal ends it.
+//! The `mintgate` program: reads the configuration and serves until a signal ends it.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
@@ -12,36 +12,37 @@
 
 /// Schedules short requests over workers that load programs on demand.
 ///
-/// Without a command it serves until a signal ends it. GW_CONFIG names its configuration.
+/// Without a command it serves until a signal ends it. GW_CONFIG names its configuration file.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
     /// The operator's file.
     #[arg(long, global = true, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// How log lines are written.
+    /// Format of the log lines.
     #[arg(long, value_enum, default_value_t = Form::Lines)]
     log: Form,
-    /// Writes what becomes of each request, attempt and connection too: many lines for each request.
+    /// Also log each request, attempt and connection: many lines per request.
     #[arg(long)]
     trace: bool,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
+/// The values of `--log`.
 #[derive(Clone, Copy, ValueEnum)]
 enum Form {
     /// As docs/on-call.md shows them.
     Lines,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reads the configuration and the operator's file, and says whether it would start with them.
+    /// Check whether the daemon would start with the configuration and the operator's file.
     Check,
-    /// Asks a scheduler that runs about its fleet.
+    /// Query a running scheduler about its fleet.
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
@@ -50,7 +51,7 @@
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// Who is in the fleet, and who holds which task.
+    /// Show the fleet's members, and which of them holds which task.
     Status {
         /// The scheduler's second address.
         #[arg(long, value_name = "ADDRESS")]
@@ -79,6 +80,7 @@
     }
 }
 
+/// Reads both files and prints a summary.
 fn check(operator: Option<PathBuf>) -> Result<(), String> {
     let (config, operator) = Sources::of_environment(operator)?.read()?;
     println!("configuration: good, {} classes", config.site.settings.classes.len());
@@ -91,7 +93,7 @@
     Ok(())
 }
 
-/// One request at a second address; its answer goes to standard output.
+/// Sends a GET request to a scheduler's second address and prints the body of the answer.
 fn query(at: SocketAddr, path: &str) -> Result<(), String> {
     let limit = Duration::from_secs(2);
     let answer = || -> std::io::Result<String> {
@@ -103,9 +105,9 @@
         Ok(text)
     };
     let text = answer().map_err(|e| format!("no answer from {at}: {e}"))?;
-    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| format!("no answer from {at}"))?;
+    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| format!("incomplete answer from {at}"))?;
     if head.split(' ').nth(1) != Some("200") {
-        return Err(format!("{at} says no: {}", body.trim_end()));
+        return Err(format!("{at} answered with an error: {}", body.trim_end()));
     }
     print!("{body}");
     Ok(())
--- a/src/start_times.rs
+++ b/src/start_times.rs
@@ -1,18 +1,19 @@
 //! When workers started, in the scheduler's own time.
 //!
-//! The list has starts in Unix time, by clocks of other machines. Any of those clocks may be stepped at any time, this
-//! machine's too, while the scheduler's own time runs on evenly from the Unix time at which its process began. So a reported
-//! start is turned into an age once, when it is first received, and from then on belongs to the own time.
+//! The list has starts in Unix time, by the clocks of other machines. Any of those clocks, and this machine's, may be
+//! stepped at any time, while the scheduler's own time advances evenly from the Unix time at which its process started. So
+//! a reported start is converted to an age once, when it is first received, and is kept in the own time from then on.
 //!
-//! The age is read twice: against the own time, and against the wall clock as it is now. Each may be off. By a clock that
-//! is ahead of those who stamp starts, every age comes out too long by the same amount, and the shortest age ever read by it
-//! is at least that amount, for no worker is listed before it starts. It is subtracted. Of what remains the shorter counts,
-//! and a start in the future is one of this moment: a worker is taken to be colder than it is, never warmer.
+//! The age is computed by the own time and by the current wall clock. Either may be wrong. A clock that is ahead of those
+//! that stamp the starts makes every age too long by the same amount. The shortest age ever computed by it is at least
+//! that amount, because no worker is listed before it starts, so the shortest age is subtracted. The shorter of the two
+//! corrected ages counts, and a start in the future counts as one at this moment: a worker may be considered colder than
+//! it is, but never warmer.
 
 use crate::interface::{Duration, Timestamp, WorkerId};
 use std::collections::BTreeMap;
 
-/// What both clocks show at one moment.
+/// The readings of both clocks at the same moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Clocks {
     /// The scheduler's own time.
@@ -21,7 +22,7 @@
     pub wall: Timestamp,
 }
 
-/// A worker's age by both clocks.
+/// A worker's age by each clock.
 #[derive(Clone, Copy, Debug)]
 struct Ages {
     own: Duration,
@@ -33,42 +34,43 @@
         Ages { own: clocks.own - started, wall: clocks.wall - started }
     }
 
-    /// The shorter one by each clock.
+    /// The shorter age by each clock.
     fn min(self, other: Ages) -> Ages {
         Ages { own: self.own.min(other.own), wall: self.wall.min(other.wall) }
     }
 
-    /// The shorter one of both clocks.
+    /// The shorter of the two clocks' ages.
     fn shorter(self) -> Duration {
         self.own.min(self.wall)
     }
 
-    /// The same less the clocks' errors, of which `shortest` is an upper bound.
+    /// The ages minus the clocks' errors, of which `shortest` is an upper bound.
     fn corrected(self, shortest: Ages) -> Ages {
         Ages { own: Duration(self.own.0 - shortest.own.0), wall: Duration(self.wall.0 - shortest.wall.0) }
     }
 }
 
+/// The start of a worker.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// In Unix time, as the list has it.
+    /// In Unix time, as the list reports it.
     reported: Timestamp,
     /// In the scheduler's own time.
     own: Timestamp,
 }
 
-/// The starts of listed workers, and what is known of the clocks' errors.
+/// The starts of listed workers, and bounds on the clocks' errors.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    /// Of the workers on the list that have started lately.
+    /// The starts of the listed workers for which one was reported.
     starts: BTreeMap<WorkerId, Start>,
-    /// The shortest ages with which starts were first received; none before the first.
+    /// The shortest ages at which starts were first received; `None` before the first start.
     shortest: Option<Ages>,
 }
 
 impl StartTimes {
-    /// The starts of the list with which the process begins. They may have been reported long ago, so their ages are taken as
-    /// they are read.
+    /// Records a start from the list with which the process starts, and returns it in the own time. It may have been reported
+    /// long ago, so its age is not corrected.
     pub fn reported_at_start(
         &mut self,
         clocks: Clocks,
@@ -78,7 +80,8 @@
         self.record(clocks, worker, reported, false)
     }
 
-    /// A start that is reported now, in the own time; none where it was long ago. One that was reported before stays where it is.
+    /// Records a start that is reported now, and returns it in the own time; `None` if none is reported because it was long
+    /// ago. A start that was reported before keeps its time.
     pub fn reported_now(
         &mut self,
         clocks: Clocks,
@@ -88,6 +91,7 @@
         self.record(clocks, worker, reported, true)
     }
 
+    /// Records a start; `correct_clocks` says whether the age is corrected for the clocks' errors.
     fn record(
         &mut self,
         clocks: Clocks,
@@ -111,12 +115,12 @@
         Some(own)
     }
 
-    /// A start as another process of this scheduler has it: reported so, and of this age.
+    /// Records a start that another process of this scheduler has received, with its age there.
     pub fn take_over(&mut self, now: Timestamp, worker: WorkerId, reported: Timestamp, age: Duration) {
         self.starts.insert(worker, Start { reported, own: now - age });
     }
 
-    /// A worker's start as the list has it, in Unix time.
+    /// A worker's start in Unix time, as the list reports it.
     pub fn reported(&self, worker: WorkerId) -> Option<Timestamp> {
         self.starts.get(&worker).map(|start| start.reported)
     }
@@ -126,12 +130,12 @@
         self.starts.get(&worker).map(|start| now - start.own)
     }
 
-    /// Forgets a worker that is gone.
+    /// Removes a worker that is gone.
     pub fn remove(&mut self, worker: WorkerId) {
         self.starts.remove(&worker);
     }
 
-    /// Forgets all workers but these.
+    /// Removes all workers except the listed ones.
     pub fn retain(&mut self, listed: impl Fn(WorkerId) -> bool) {
         self.starts.retain(|worker, _| listed(*worker));
     }
--- a/src/start_times/tests.rs
+++ b/src/start_times/tests.rs
@@ -16,13 +16,13 @@
 fn a_start_reported_again_keeps_its_time() {
     let mut starts = StartTimes::default();
     let first = starts.reported_now(clocks(BASE_MS, BASE_MS), WorkerId(1), Some(at(BASE_MS - 5)));
-    assert_eq!(first, Some(at(BASE_MS)), "the first one is as old as the clocks may be shifted");
+    assert_eq!(first, Some(at(BASE_MS)), "the first age equals the bound on the clocks' error");
     let again =
         starts.reported_now(clocks(BASE_MS + 9_000, BASE_MS - HOUR_MS), WorkerId(1), Some(at(BASE_MS - 5)));
     assert_eq!((again, starts.reported(WorkerId(1))), (first, Some(at(BASE_MS - 5))));
     let next =
         starts.reported_now(clocks(BASE_MS + 9_000, BASE_MS + 9_000), WorkerId(1), Some(at(BASE_MS + 8_000)));
-    assert_eq!(next, Some(at(BASE_MS + 8_005)), "a new start is another one");
+    assert_eq!(next, Some(at(BASE_MS + 8_005)), "a different start is converted anew");
     assert_eq!(starts.reported_now(clocks(BASE_MS, BASE_MS), WorkerId(1), None), None);
     assert_eq!(starts.age(at(BASE_MS), WorkerId(1)), None);
 }
@@ -33,7 +33,7 @@
     let old = starts.reported_at_start(clocks(BASE_MS, BASE_MS), WorkerId(1), Some(at(BASE_MS - 60_000)));
     assert_eq!(old, Some(at(BASE_MS - 60_000)));
     let ahead = starts.reported_at_start(clocks(BASE_MS, BASE_MS), WorkerId(2), Some(at(BASE_MS + HOUR_MS)));
-    assert_eq!(ahead, Some(at(BASE_MS)), "nobody starts in the future");
+    assert_eq!(ahead, Some(at(BASE_MS)), "a start in the future counts as now");
     assert_eq!(starts.age(at(BASE_MS + 7), WorkerId(2)), Some(Duration::millis(7)));
 }
 
@@ -51,9 +51,9 @@
 proptest! {
     #![proptest_config(crate::proptest_config())]
 
-    /// Starts are told delay, and all clocks of the site or this machine's alone are stepped between them, before and after
-    /// the process began: no worker is ever taken for older than it is. Where no clock was shifted, it is taken for younger by
-    /// no more than the shortest_delay word took.
+    /// Starts are reported with delays, while all clocks of the site, or this machine's alone, are stepped before and after
+    /// the process starts. No worker is ever considered older than it is. If no clock was stepped, it is considered younger
+    /// by at most the shortest delay of a report.
     #[test]
     fn a_worker_is_never_considered_older_than_it_is(
         first in -2 * HOUR_MS as i64..2 * HOUR_MS as i64,
@@ -66,7 +66,7 @@
         let mut stepped = first != 0;
         for (worker, (pause, delay, step, all, kind)) in events.into_iter().enumerate() {
             now += pause;
-            // One in four words follows on a step.
+            // One in four reports follows a step of the clocks.
             if kind == 0 {
                 wall_offset += step;
                 site_offset += if all { step } else { 0 };
@@ -78,7 +78,7 @@
             let own = starts.reported_now(clocks, WorkerId(worker as u64), Some(reported)).unwrap();
             let age = (clocks.own - own).0 / 1_000_000;
             shortest_delay = shortest_delay.min(delay);
-            // Where the site's clocks and this machine's own were stepped apart, nothing shows it.
+            // A difference between the steps of the site's clocks and of this machine's cannot be detected.
             let undetectable = site_offset != 0 && wall_offset - first != site_offset;
             prop_assert!(undetectable || age <= delay, "{age} ms for {delay} ms");
             prop_assert!(stepped || age == delay - shortest_delay);
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! The real program, against the stand-ins of `lab`.
+//! Runs the real program against the stand-ins of `lab`.
 #![allow(dead_code)]
 
 use lab::faults::Faults;
@@ -19,20 +19,22 @@
     pub folder: Arc<Folder>,
     pub log: Arc<Mutex<String>>,
     pub config: Value,
-    /// Makes its system calls fail, where it was started to meet that.
+    /// Injects faults into its system calls, if it was started with them.
     pub faults: Option<Arc<Faults>>,
 }
 
 impl Daemon {
+    /// Starts a daemon with the default settings.
     pub fn start(workers: &[&Worker]) -> Daemon {
         Daemon::start_with(workers, settings(), None, |_| String::new())
     }
 
+    /// Starts a daemon with these limits on sockets and memory.
     pub fn with_limits(workers: &[&Worker], limits: Value) -> Daemon {
         Daemon::start_with_limits(workers, settings(), limits, None, |_| String::new())
     }
 
-    /// Starts the daemon with these agents, settings, bus and operator's file.
+    /// Starts a daemon with these workers, settings, discovery address and operator's file.
     pub fn start_with(
         workers: &[&Worker],
         settings: Value,
@@ -42,8 +44,8 @@
         Daemon::start_with_limits(workers, settings, json!({"sockets": 256}), bus, operator)
     }
 
-    /// The same, where system calls can be made to fail and the wall clock stepped, which is off by so much from the
-    /// start on.
+    /// The same with fault injection: system calls can be made to fail, and the wall clock can be stepped. It differs from the
+    /// real time by `wall_clock_ms` from the start.
     pub fn with_faults(
         workers: &[&Worker],
         settings: Value,
@@ -60,11 +62,12 @@
         daemon
     }
 
-    /// What steers this daemon's system calls.
+    /// The faults injected into this daemon's system calls.
     pub fn faults(&self) -> &Faults {
-        self.faults.as_ref().expect("it was started to meet faults")
+        self.faults.as_ref().expect("the daemon was not started with fault injection")
     }
 
+    /// Starts a daemon and waits until it serves.
     fn start_with_limits(
         workers: &[&Worker],
         settings: Value,
@@ -78,7 +81,7 @@
         daemon
     }
 
-    /// Writes the files of a daemon into a folder of its own.
+    /// Writes a daemon's files to a new folder.
     fn write_files(
         workers: &[&Worker],
         settings: Value,
@@ -106,12 +109,12 @@
         (folder, config)
     }
 
-    /// Starts the daemon beside this one, on the same door, as the platform does at an upgrade.
+    /// Starts a second process on the same listener, as the platform does at an upgrade.
     pub fn spawn_beside(&self, listener: &TcpListener) -> Daemon {
         Daemon::spawn_faulty(self.folder.clone(), self.config.clone(), Some(listener), self.faults.clone())
     }
 
-    /// Starts another daemon on the configuration of this one, where the system hands out so few descriptors.
+    /// Starts another daemon with this one's configuration and a limit on its descriptors.
     pub fn spawn_with_descriptor_limit(&self, descriptors: u32) -> Daemon {
         let folder = Arc::new(Folder::new());
         std::fs::write(folder.at("config.json"), self.config.to_string()).unwrap();
@@ -124,13 +127,13 @@
         Daemon::run(command, folder, self.config.clone(), None, None)
     }
 
-    /// Starts the program on what stands in the folder. The door is passed as standard input, for that needs no
-    /// unsafe code; the platform passes it under another number.
+    /// Starts the program with the files in the folder. The listener is passed as standard input, which needs no unsafe code;
+    /// the platform passes it under another number.
     pub fn spawn(folder: Arc<Folder>, config: Value, listener: Option<&TcpListener>) -> Daemon {
         Daemon::spawn_faulty(folder, config, listener, None)
     }
 
-    /// The same, whose system calls can be made to fail.
+    /// The same with fault injection.
     pub fn spawn_faulty(
         folder: Arc<Folder>,
         config: Value,
@@ -140,6 +143,7 @@
         Daemon::run(Command::new(env!("CARGO_BIN_EXE_mintgate")), folder, config, listener, faults)
     }
 
+    /// Runs a command and collects its log.
     fn run(
         mut command: Command,
         folder: Arc<Folder>,
@@ -162,10 +166,10 @@
         }
         let mut child = command.spawn().unwrap();
         let log = Arc::new(Mutex::new(String::new()));
-        let (kept, error) = (log.clone(), child.stderr.take().unwrap());
+        let (captured, error) = (log.clone(), child.stderr.take().unwrap());
         thread::spawn(move || {
             for line in BufReader::new(error).lines().map_while(Result::ok) {
-                let mut log = kept.lock().unwrap();
+                let mut log = captured.lock().unwrap();
                 log.push_str(&line);
                 log.push('\n');
             }
@@ -174,61 +178,62 @@
         Daemon { child, listen: any, mgmt: any, folder, log, config, faults }
     }
 
-    /// Waits until it serves, and learns where.
+    /// Waits until it serves, and reads its addresses from the log.
     pub fn serves(&mut self) {
         let log = self.wait_log("mintgate: serving");
         let word = |what| log.split_whitespace().find_map(|word| word.strip_prefix(what)).unwrap();
         (self.listen, self.mgmt) = (word("listen=").parse().unwrap(), word("mgmt=").parse().unwrap());
     }
 
-    /// Waits for its end; whether it went well.
+    /// Waits until the process exits, and returns whether it succeeded.
     pub fn ends(&mut self) -> bool {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
-            assert!(start.elapsed() < LONG, "it does not end");
+            assert!(start.elapsed() < LONG, "the process does not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Calls the second address; the status and what follows the head.
+    /// Sends a request to the second address; returns the status and the body.
     pub fn operate(&self, method: &str, target: &str) -> (u16, String) {
         operate(self.mgmt, format!("{method} {target} HTTP/1.1\r\nHost: here\r\n\r\n").as_bytes())
     }
 
-    /// A figure as the second address shows it.
+    /// Reads a figure at the second address.
     pub fn figure(&self, name: &str) -> Option<u64> {
         let (_, text) = self.operate("GET", "/api/telemetry");
         let lines = text.lines().find_map(|line| line.strip_prefix(&format!("scheduler.{name}=")));
         lines.map(|value| value.parse().unwrap())
     }
 
-    /// Waits for a word in the log.
-    pub fn wait_log(&self, word: &str) -> String {
-        self.wait_log_times(word, 1)
+    /// Waits until a text is in the log, and returns the log.
+    pub fn wait_log(&self, text: &str) -> String {
+        self.wait_log_times(text, 1)
     }
 
-    /// Waits for a word to have come up so often.
-    pub fn wait_log_times(&self, word: &str, times: usize) -> String {
+    /// Waits until a text is in the log at least `times` times.
+    pub fn wait_log_times(&self, text: &str, times: usize) -> String {
         let start = Instant::now();
         loop {
             let log = self.log.lock().unwrap().clone();
-            if log.matches(word).count() >= times {
+            if log.matches(text).count() >= times {
                 return log;
             }
-            assert!(start.elapsed() < LONG, "no '{word}' in the log:\n{log}");
+            assert!(start.elapsed() < LONG, "no '{text}' in the log:\n{log}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
     }
 
-    /// Puts another configuration in place and has it read; the log's word for how that went.
+    /// Replaces the configuration and reloads it; returns the word of the log line that says how that ended.
     pub fn reload(&self, config: &str) -> String {
         let count =
             |log: &str| log.matches("mintgate: reloaded").count() + log.matches("reload refused").count();
@@ -247,7 +252,7 @@
         }
     }
 
-    /// A counter, as printed on request.
+    /// Reads a counter, which SIGUSR1 logs.
     pub fn counter(&self, name: &str) -> u64 {
         let before = self.log.lock().unwrap().matches("mintgate: counters").count();
         self.signal("USR1");
@@ -266,7 +271,7 @@
 }
 
 impl Daemon {
-    /// Waits until a counter has come so far.
+    /// Waits until a counter is at least `least`.
     pub fn wait_counter(&self, name: &str, least: u64) {
         let start = Instant::now();
         while self.counter(name) < least {
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -1,4 +1,4 @@
-//! VRRP on real sockets: one daemon takes new calls on the second front, the other stands by.
+//! VRRP on real sockets: the active daemon accepts new calls on the JSON-RPC front, the backup refuses them.
 
 #![allow(
     clippy::unwrap_used,
@@ -16,7 +16,7 @@
 
 const REFERENCE: &str = "9b1f03aa5c7e2d41";
 
-/// A daemon of this priority whose only peer is the test.
+/// Starts a daemon of this priority whose only peer is `peer`.
 fn start(worker: &Worker, priority: u8, interval: u16, bind: &str, peer: SocketAddr) -> Daemon {
     Daemon::start_with(&[worker], settings(), None, |folder| {
         format!(
@@ -27,17 +27,20 @@
     })
 }
 
+/// Sends an advertisement as another virtual router.
 fn send_advertisement(socket: &UdpSocket, to: SocketAddr, vrid: u8, priority: u8, interval: u16) {
     let addresses = vec!["127.0.0.100".parse().unwrap()];
     socket.send_to(&Advertisement { vrid, priority, interval, addresses }.write(), to).unwrap();
 }
 
+/// Receives the next advertisement and its sender.
 fn receive_advertisement(socket: &UdpSocket) -> (Advertisement, SocketAddr) {
     let mut bytes = [0; 1500];
     let (size, from) = socket.recv_from(&mut bytes).unwrap();
     (Advertisement::read(&bytes[..size]).unwrap(), from)
 }
 
+/// Sends a call and returns the error code of its answer.
 fn call_error_code(rpc: &mut Rpc, id: u32) -> Value {
     rpc.send(&rpc_call(&json!(id), "practice-check", REFERENCE, 2900, "").to_string());
     rpc.next()["error"]["code"].clone()
@@ -55,20 +58,20 @@
     let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
     client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 2900, "").to_string());
     let mut received = worker.next();
-    // Malformed and foreign ones change nothing.
+    // Advertisements that are malformed, of another router or from an unknown sender change nothing.
     peer.send_to(b"\x31\x07\xff", daemon_address).unwrap();
     send_advertisement(&peer, daemon_address, 8, 250, 4000);
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     send_advertisement(&unknown_sender, daemon_address, 7, 250, 4000);
     daemon.wait_counter("vrrp_dropped", 3);
     assert!(!daemon.wait_log("vrrp").contains("state=Backup was=Active"));
-    // A higher priority: this one steps back, for three of the other's long intervals.
+    // A peer has a higher priority: the daemon becomes backup for three of the peer's long intervals.
     send_advertisement(&peer, daemon_address, 7, 250, 4000);
     daemon.wait_log("state=Backup was=Active");
-    assert_eq!(call_error_code(&mut client, 2), -32001, "no new call");
+    assert_eq!(call_error_code(&mut client, 2), -32001, "a backup refuses new calls");
     received.answer("200", "eA==");
     assert_eq!(client.next(), json!({"jsonrpc": "2.0", "id": 1, "result": {"body": "eA=="}}));
-    // The other one tells a short interval and stops: this one takes over after its skew.
+    // The peer advertises a short interval and then stops: the daemon becomes active after its skew time.
     send_advertisement(&peer, daemon_address, 7, 250, 10);
     send_advertisement(&peer, daemon_address, 7, 0, 10);
     daemon.wait_log_times("state=Active was=Backup", 2);
@@ -80,8 +83,8 @@
 #[test]
 fn the_backup_becomes_active_when_the_active_daemon_shuts_down() {
     let (one, two) = (Worker::over_tcp(), Worker::over_tcp());
-    // Each must know the other's port before it starts. No other test binds these addresses, so what the
-    // system gives out stays free.
+    // Each must know the other's port before it starts. No other test binds these addresses, so the ports that the system
+    // has allocated stay free.
     let [low, high] =
         ["127.0.0.61:0", "127.0.0.62:0"].map(|at| UdpSocket::bind(at).unwrap().local_addr().unwrap());
     let backup = start(&one, 100, 50, &low.to_string(), high);
