--- a/src/client.rs
+++ b/src/client.rs
@@ -144,7 +144,8 @@
         self.reactor.now()
     }
 
-    /// Replaces the list of workers, and is to be called whenever it has changed. Workers that are not on it are removed.
+    /// Replaces the list of workers, and is to be called whenever it has changed. Workers that are not on it are
+    /// removed.
     pub fn workers(&mut self, list: Vec<(Member, Endpoint)>) {
         let listed =
             |worker| list.iter().any(|(member, _)| member.worker == worker && member.state != State::Gone);
@@ -157,11 +158,11 @@
         self.execute_commands();
     }
 
-    /// Confirms that the list of workers is complete and up to date. If the source of the list may become unreachable, call
-    /// this about once a second while it is reachable, whether or not anything has changed. After the first call, once the
-    /// last confirmation is older than 1.25 s plus 0.8 of the drain grace, workers are probed before anything is sent to
-    /// them; where health checks are not allowed, nothing is sent to workers from which nothing was received for 7 s plus
-    /// 0.8 of the grace. Without any call the list is valid until it is replaced.
+    /// Confirms that the list of workers is complete and up to date. If the source of the list may become unreachable,
+    /// call this about once a second while it is reachable, whether or not anything has changed. After the first call,
+    /// once the last confirmation is older than 1.25 s plus 0.8 of the drain grace, workers are probed before anything
+    /// is sent to them; where health checks are not allowed, nothing is sent to workers from which nothing was received
+    /// for 7 s plus 0.8 of the grace. Without any call the list is valid until it is replaced.
     pub fn list_confirmed(&mut self) {
         let now = self.reactor.now();
         self.core.set_list_source(now, true, BTreeSet::new());
@@ -193,8 +194,8 @@
         RequestHandle(self.last_handle)
     }
 
-    /// Submits a chain, whose steps run one after another. [`Client::chain_ends`] returns its one end. The deadline is also
-    /// the latency objective of the last step's class, if it is earlier.
+    /// Submits a chain, whose steps run one after another. [`Client::chain_ends`] returns its one end. The deadline is
+    /// also the latency objective of the last step's class, if it is earlier.
     pub fn chain(&mut self, key: Option<String>, deadline: Timestamp, steps: Vec<Step>) -> RequestHandle {
         self.last_handle += 1;
         let owner = Owner { connection: 0, stream: self.last_handle };
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -362,7 +362,8 @@
         let now = self.reactor.now();
         self.advance_discovery(now);
         if self.core.next_timeout().is_some_and(|at| at <= now) {
-            // A panic here belongs to no connection that could be closed. The requests it affects end at their deadlines.
+            // A panic here belongs to no connection that could be closed. The requests it affects end at their
+            // deadlines.
             let result = catch_unwind(AssertUnwindSafe(|| self.core.on_timeout(now)));
             if result.is_err() {
                 self.core.counters().panics += 1;
--- a/src/daemon/accept.rs
+++ b/src/daemon/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts connections at every listener: the clients', the JSON-RPC front's, the second address and the upgrade socket.
+//! Accepts connections at every listener: the clients', the JSON-RPC front's, the second address and the upgrade
+//! socket.
 //!
 //! Readiness is edge-triggered: the system reports a listener once. If accepting stops before the system returns
 //! `EAGAIN`, it has to be resumed without a further report. [`Daemon::accept`] is the only function that accepts, and
@@ -87,7 +88,8 @@
         self.schedule_accept(listener, pause);
     }
 
-    /// Schedules a retry at a listener. Connections that wait there may have arrived at any time since the first attempt.
+    /// Schedules a retry at a listener. Connections that wait there may have arrived at any time since the first
+    /// attempt.
     fn schedule_accept(&mut self, listener: usize, pause: Duration) {
         let now = self.reactor.now();
         let (due, since) = (now + pause, self.reactor.arrival_bound());
@@ -148,8 +150,8 @@
         self.reactor.add(stream, connection, true, frames::BUFFER_LIMITS, &mut self.core);
     }
 
-    /// Accepts an operator's connection regardless of the clients, as its descriptor is reserved. If the limit is reached,
-    /// the oldest connection that has not completed its request is closed.
+    /// Accepts an operator's connection regardless of the clients, as its descriptor is reserved. If the limit is
+    /// reached, the oldest connection that has not completed its request is closed.
     fn accept_operator(&mut self, stream: Stream) {
         let reactor = &self.reactor;
         self.operator_connections.retain(|id| reactor.inspect(*id, |_| ()).is_some());
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -83,7 +83,8 @@
         self.source_changed(changed);
     }
 
-    /// Adds, changes or removes a worker as the list says, and converts its start from Unix time to the scheduler's own time.
+    /// Adds, changes or removes a worker as the list says, and converts its start from Unix time to the scheduler's own
+    /// time.
     pub(super) fn update_worker(&mut self, now: Timestamp, member: &mut Member, address: SocketAddr) {
         if member.state == State::Gone {
             self.start_times.remove(member.worker);
@@ -98,8 +99,8 @@
         self.pool.set_endpoint(member.worker, Endpoint::Tcp(address), member.started);
     }
 
-    /// Moves to discovery's new address at once: closes the old connection and subscribes from the last event on. The state
-    /// is a new one, so that the end of the old connection does not count as a failure of the new one.
+    /// Moves to discovery's new address at once: closes the old connection and subscribes from the last event on. The
+    /// state is a new one, so that the end of the old connection does not count as a failure of the new one.
     pub(super) fn change_discovery_address(&mut self, now: Timestamp) {
         let (offset, events) = {
             let mut old = self.received_events.borrow_mut();
--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -1,5 +1,5 @@
-//! The daemon as a process of its distribution domain: sends and receives the datagrams of its [`DistributionNode`], and
-//! applies the installed versions.
+//! The daemon as a process of its distribution domain: sends and receives the datagrams of its [`DistributionNode`],
+//! and applies the installed versions.
 
 mod classes;
 mod publisher;
@@ -27,8 +27,8 @@
 /// Interval between attempts to bind the domain's address while the old process has it.
 const BIND_RETRY_INTERVAL: Duration = Duration::millis(50);
 
-/// This process's membership of its domain, and what it has received from there. The latter is kept when another process
-/// joins in its place, as at an upgrade.
+/// This process's membership of its domain, and what it has received from there. The latter is kept when another
+/// process joins in its place, as at an upgrade.
 pub(super) struct Distribution {
     /// The node, while this process has joined the domain.
     joined: Option<DomainNode>,
@@ -37,7 +37,7 @@
     /// The classes received from the domain.
     classes: Rc<RefCell<Classes>>,
     /// The list of workers comes from the domain, so that those of the file and of discovery are ignored.
-    pub(super) provides_list: bool,
+    pub(super) has_list: bool,
 }
 
 /// The node of a process that has joined its domain.
@@ -60,7 +60,7 @@
     /// The state of a process that has not joined yet.
     pub(super) fn new(config: &Config) -> Distribution {
         let classes = Rc::new(RefCell::new(Classes::new(config)));
-        Distribution { joined: None, retry_at: None, classes, provides_list: false }
+        Distribution { joined: None, retry_at: None, classes, has_list: false }
     }
 
     /// Binds the domain's address and joins.
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Binds the domain's address and joins when that is due, or schedules a retry while another process has the address.
+    /// Binds the domain's address and joins when that is due, or schedules a retry while another process has the
+    /// address.
     pub(super) fn retry_join_distribution(&mut self) {
         let now = self.reactor.now();
         let (Some(distribution), Some(setting)) = (&mut self.distribution, &self.operator.distribution)
@@ -262,8 +263,8 @@
 
     // ---- Installed versions
 
-    /// Applies a version of the domain if this process is a subscriber. Relays and replicas that serve requests do so by
-    /// their own file and discovery.
+    /// Applies a version of the domain if this process is a subscriber. Relays and replicas that serve requests do so
+    /// by their own file and discovery.
     fn install(&mut self, now: Timestamp, version: Version, changes: &[Change]) {
         let Some(Distribution { joined: Some(joined), classes, .. }) = &mut self.distribution else { return };
         let first = !std::mem::replace(&mut joined.installed, true);
@@ -333,7 +334,7 @@
             members.extend(&self.checkers);
         }
         if let Some(distribution) = &mut self.distribution {
-            distribution.provides_list = true;
+            distribution.has_list = true;
         }
         self.core.members(now, kind, members);
     }
@@ -342,14 +343,14 @@
     pub(super) fn report_list_freshness(&mut self) {
         let now = self.reactor.now();
         let last_frame = self.received_events.borrow().last_frame;
-        let Some(Distribution { joined: Some(joined), provides_list, .. }) = &mut self.distribution else {
+        let Some(Distribution { joined: Some(joined), has_list, .. }) = &mut self.distribution else {
             return;
         };
         if let Some(at) = last_frame {
             joined.node.borrow_mut().confirm_source(at);
         }
         let up_to_date_at = joined.node.borrow().up_to_date_at();
-        if *provides_list && up_to_date_at > joined.list_confirmed_at {
+        if *has_list && up_to_date_at > joined.list_confirmed_at {
             joined.list_confirmed_at = up_to_date_at;
             if let Some(at) = up_to_date_at {
                 self.core.list_confirmed_by_domain(now, at);
@@ -359,13 +360,13 @@
 
     /// Whether the list of workers comes from the domain, so that other sources are ignored.
     pub(super) fn list_is_distributed(&self) -> bool {
-        self.distribution.as_ref().is_some_and(|distribution| distribution.provides_list)
+        self.distribution.as_ref().is_some_and(|distribution| distribution.has_list)
     }
 
     // ---- Reloads
 
-    /// Returns a file's configuration without its list, and the configuration to use, in which the domain's classes override
-    /// the file's.
+    /// Returns a file's configuration without its list, and the configuration to use, in which the domain's classes
+    /// override the file's.
     ///
     /// # Errors
     /// The configuration is invalid with the domain's classes, or a replica's file has a class that does not fit into a
@@ -414,7 +415,7 @@
     /// Publishes the pending changes if this process may do so now. One ticket is in flight at a time.
     fn publish(&mut self) {
         let Some(joined) = self.joined() else { return };
-        let Some(publisher) = joined.publisher.as_ref().filter(|publisher| publisher.has_work()) else {
+        let Some(publisher) = joined.publisher.as_ref().filter(|publisher| publisher.pending()) else {
             return;
         };
         let node = joined.node.clone();
--- a/src/daemon/distribution/classes.rs
+++ b/src/daemon/distribution/classes.rs
@@ -13,7 +13,8 @@
 pub(super) struct Classes {
     file: Config,
     distributed: ByName,
-    /// Nothing has been received since this process joined the domain: the next changes replace everything received before.
+    /// Nothing has been received since this process joined the domain: the next changes replace everything received
+    /// before.
     awaiting_snapshot: bool,
 }
 
--- a/src/daemon/distribution/publisher.rs
+++ b/src/daemon/distribution/publisher.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether there is anything to compare or publish, and no ticket is in flight.
-    pub(super) fn has_work(&self) -> bool {
+    pub(super) fn pending(&self) -> bool {
         self.in_flight.is_none() && (self.compare_all || !self.changed.is_empty() || !self.queue.is_empty())
     }
 
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Queues the differences that a comparison has found. The records that the complete source was compared with may have
-    /// been out of date, so that comparison is repeated until it finds none.
+    /// Queues the differences that a comparison has found. The records that the complete source was compared with may
+    /// have been out of date, so that comparison is repeated until it finds none.
     #[allow(clippy::needless_pass_by_value, reason = "the caller has no further use for it")]
     pub(super) fn compared(&mut self, all: bool, changes: Vec<Change>) {
         if all {
@@ -116,8 +116,8 @@
                 self.queue.clear();
                 self.compare_all = self.fence.is_some();
             }
-            // A retry would be rejected again. The first state of a domain is not complete without these changes, so the mark
-            // that it is complete is not published.
+            // A retry would be rejected again. The first state of a domain is not complete without these changes, so
+            // the mark that it is complete is not published.
             PublishError::Invalid(_) => {
                 self.compare_all = false;
                 self.queue
--- a/src/daemon/distribution/publisher/tests.rs
+++ b/src/daemon/distribution/publisher/tests.rs
@@ -79,7 +79,7 @@
 fn one_ticket_is_in_flight_and_everything_is_compared_until_equal() {
     let mut publisher = Publisher::default();
     publisher.mark_changed([Key::Worker(9)]);
-    assert!(!publisher.has_work(), "without the lease changes are not kept");
+    assert!(!publisher.pending(), "without the lease changes are not kept");
     publisher.lease(Some(7));
     assert_eq!(publisher.next(), Next::CompareAll);
     let changes: Vec<Change> = (0..300)
@@ -92,7 +92,7 @@
     publisher.compared(true, changes.clone());
     let Next::Publish(ticket, first) = publisher.next() else { panic!("expected the first chunk") };
     assert_eq!(
-        (first.len(), publisher.next(), publisher.has_work()),
+        (first.len(), publisher.next(), publisher.pending()),
         (MAX_CHANGES_PER_TICKET, Next::Nothing, false)
     );
     publisher.not_published(ticket, &PublishError::TooMany);
@@ -112,7 +112,7 @@
     publisher.not_published(ticket, &PublishError::Superseded);
     assert_eq!(publisher.next(), Next::CompareAll, "the committed records are unknown");
     publisher.lease(None);
-    assert!(!publisher.has_work());
+    assert!(!publisher.pending());
 }
 
 #[test]
--- a/src/daemon/fleet.rs
+++ b/src/daemon/fleet.rs
@@ -32,7 +32,8 @@
 }
 
 impl Member {
-    /// Binds the fleet's address for a process that has just started; `publishes` says whether it may publish for its domain.
+    /// Binds the fleet's address for a process that has just started; `publishes` says whether it may publish for its
+    /// domain.
     pub(super) fn new(
         setting: &config::Fleet,
         publishes: bool,
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads: at SIGHUP a separate thread reads the files, as parsing a long list takes far longer than requests may wait.
-//! The result is checked and applied between two turns of the loop.
+//! Reloads: at SIGHUP a separate thread reads the files, as parsing a long list takes far longer than requests may
+//! wait. The result is checked and applied between two turns of the loop.
 
 use super::Daemon;
 use crate::backend;
@@ -38,8 +38,8 @@
 }
 
 impl Daemon {
-    /// Handles SIGHUP: reads and checks both files completely before anything in them is applied. If one is invalid, nothing
-    /// changes. Open requests and connections continue.
+    /// Handles SIGHUP: reads and checks both files completely before anything in them is applied. If one is invalid,
+    /// nothing changes. Open requests and connections continue.
     pub(super) fn reload(&mut self) {
         if self.reloads.reading.is_some() {
             return self.reloads.requested_again = true;
@@ -153,8 +153,8 @@
         config.site.kinds.clone_from(&self.config.site.kinds);
     }
 
-    /// Applies the JSON-RPC front's settings. If the file names another socket, that one is bound in place of the old one,
-    /// and connected clients stay. If binding fails, nothing changes.
+    /// Applies the JSON-RPC front's settings. If the file names another socket, that one is bound in place of the old
+    /// one, and connected clients stay. If binding fails, nothing changes.
     fn reload_fronts(&mut self, operator: &Operator) -> io::Result<()> {
         let path = |operator: &Operator| operator.jsonrpc.as_ref().map(|front| front.socket.clone());
         let same = path(operator) == path(&self.operator);
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -7,7 +7,8 @@
 use crate::vrrp::Event;
 use tracing::info;
 
-/// New clients still connect for this long after SIGTERM. The process does not exit before, unless SIGKILL may come sooner.
+/// New clients still connect for this long after SIGTERM. The process does not exit before, unless SIGKILL may come
+/// sooner.
 const DRAIN_TIME: Duration = Duration::millis(1_200);
 /// The process never exits before this: by the protocol, requests on open connections arrive until 0.6 s after SIGTERM.
 const MIN_DRAIN_TIME: Duration = Duration::millis(650);
@@ -59,7 +60,8 @@
 }
 
 impl Daemon {
-    /// Handles SIGTERM: the daemon is no longer ready and asks its clients to leave, but still accepts and answers requests.
+    /// Handles SIGTERM: the daemon is no longer ready and asks its clients to leave, but still accepts and answers
+    /// requests.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown.is_some() {
             return;
--- a/src/daemon/upgrade.rs
+++ b/src/daemon/upgrade.rs
@@ -92,8 +92,8 @@
         self.upgrade.as_ref().and_then(|upgrade| upgrade.descriptor_cap).unwrap_or(all)
     }
 
-    /// Adapts the limits to the number of processes that share them. The older process closes idle connections and keeps
-    /// the others; the newer one may use the remaining descriptors.
+    /// Adapts the limits to the number of processes that share them. The older process closes idle connections and
+    /// keeps the others; the newer one may use the remaining descriptors.
     fn set_process_count(&mut self, process_count: usize) {
         let all = descriptors(&self.config);
         let Some(upgrade) = &mut self.upgrade else { return };
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Accepts the clients that have waited at the listener if there is no older process. No process has accepted clients
-    /// until now, so the time that they have waited is unknown, and their requests count as late.
+    /// Accepts the clients that have waited at the listener if there is no older process. No process has accepted
+    /// clients until now, so the time that they have waited is unknown, and their requests count as late.
     fn accept_waiting_clients(&mut self) {
         if self.upgrade.as_ref().is_some_and(|upgrade| !upgrade.machine.has_older_process()) {
             self.reactor.lower_arrival_bound(ClockReading::UNKNOWN);
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Binds the JSON-RPC front's socket file, which the old process has had until now. The old process still answers its
-    /// own clients.
+    /// Binds the JSON-RPC front's socket file, which the old process has had until now. The old process still answers
+    /// its own clients.
     fn take_second_front(&mut self) {
         let Some(front) = self.operator.jsonrpc.as_ref().filter(|_| self.rpc.is_none()) else { return };
         let replaced = socket::replace(&front.socket, front.mode);
@@ -369,8 +369,8 @@
         }
     }
 
-    /// Takes over the old process's state. Its list is used if the checksums show that both follow the same discovery events
-    /// and it has received more of them.
+    /// Takes over the old process's state. Its list is used if the checksums show that both follow the same discovery
+    /// events and it has received more of them.
     fn take_over(&mut self, now: Timestamp, state: &TransferredState) {
         let state = &state.in_time_of(now);
         self.core.take_over(now, state);
@@ -397,8 +397,8 @@
         info!(offset = state.offset, out = state.cordoned.len(), "upgrade took over");
     }
 
-    /// Takes over the workers' ages: the old process may have received their starts while the clock was right. If its list is
-    /// used, so are the starts of the workers that are unknown here.
+    /// Takes over the workers' ages: the old process may have received their starts while the clock was right. If its
+    /// list is used, so are the starts of the workers that are unknown here.
     fn take_over_start_times(&mut self, now: Timestamp, state: &TransferredState, list_taken: bool) {
         let mut changed = vec![];
         for transferred in &state.workers {
@@ -425,16 +425,13 @@
 /// process that serves now, its saved configuration is used: the program may be upgraded while a bad file is in place.
 pub(super) fn read_config_or_saved(sources: &Sources, name: &str) -> Result<(Config, Operator), ConfigError> {
     let read = sources.read();
-    let old_process_serves =
-        || retry_while_transient(|| UnixStream::connect(handover_socket_path(name))).is_ok();
+    let peer_serves = || retry_while_transient(|| UnixStream::connect(handover_socket_path(name))).is_ok();
     let saved = || {
         let text = std::fs::read(saved_config_path(name)).ok()?;
         let saved = config::read(&text).ok()?;
         Some(Config { text, ..saved })
     };
-    let Some(saved) = sources.passed.and_then(|_| saved()).filter(|_| old_process_serves()) else {
-        return read;
-    };
+    let Some(saved) = sources.passed.and_then(|_| saved()).filter(|_| peer_serves()) else { return read };
     read.and_then(|(new, operator)| config::check(&new, &saved).map(|()| (new, operator))).or_else(|why| {
         warn!(%why, "upgrade configuration of the old process");
         let operator = sources.operator()?;
--- a/src/start_times.rs
+++ b/src/start_times.rs
@@ -1,14 +1,15 @@
 //! When workers started, in the scheduler's own time.
 //!
 //! The list has starts in Unix time, by the clocks of other machines. Any of those clocks, and this machine's, may be
-//! stepped at any time, while the scheduler's own time advances evenly from the Unix time at which its process started. So
-//! a reported start is converted to an age once, when it is first received, and is kept in the own time from then on.
+//! stepped at any time, while the scheduler's own time advances evenly from the Unix time at which its process started.
+//! So a reported start is converted to an age once, when it is first received, and is kept in the own time from then
+//! on.
 //!
-//! The age is computed by the own time and by the current wall clock. Either may be wrong. A clock that is ahead of those
-//! that stamp the starts makes every age too long by the same amount. The shortest age ever computed by it is at least
-//! that amount, because no worker is listed before it starts, so the shortest age is subtracted. The shorter of the two
-//! corrected ages counts, and a start in the future counts as one at this moment: a worker may be considered colder than
-//! it is, but never warmer.
+//! The age is computed by the own time and by the current wall clock. Either may be wrong. A clock that is ahead of
+//! those that stamp the starts makes every age too long by the same amount. The shortest age ever computed by it is at
+//! least that amount, because no worker is listed before it starts, so the shortest age is subtracted. The shorter of
+//! the two corrected ages counts, and a start in the future counts as one at this moment: a worker may be considered
+//! colder than it is, but never warmer.
 
 use crate::interface::{Duration, Timestamp, WorkerId};
 use std::collections::BTreeMap;
@@ -69,8 +70,8 @@
 }
 
 impl StartTimes {
-    /// Records a start from the list with which the process starts, and returns it in the own time. It may have been reported
-    /// long ago, so its age is not corrected.
+    /// Records a start from the list with which the process starts, and returns it in the own time. It may have been
+    /// reported long ago, so its age is not corrected.
     pub fn reported_at_start(
         &mut self,
         clocks: Clocks,
@@ -80,8 +81,8 @@
         self.record(clocks, worker, reported, false)
     }
 
-    /// Records a start that is reported now, and returns it in the own time; `None` if none is reported because it was long
-    /// ago. A start that was reported before keeps its time.
+    /// Records a start that is reported now, and returns it in the own time; `None` if none is reported because it was
+    /// long ago. A start that was reported before keeps its time.
     pub fn reported_now(
         &mut self,
         clocks: Clocks,
--- a/src/start_times/tests.rs
+++ b/src/start_times/tests.rs
@@ -51,9 +51,9 @@
 proptest! {
     #![proptest_config(crate::proptest_config())]
 
-    /// Starts are reported with delays, while all clocks of the site, or this machine's alone, are stepped before and after
-    /// the process starts. No worker is ever considered older than it is. If no clock was stepped, it is considered younger
-    /// by at most the shortest delay of a report.
+    /// Starts are reported with delays, while all clocks of the site, or this machine's alone, are stepped before and
+    /// after the process starts. No worker is ever considered older than it is. If no clock was stepped, it is
+    /// considered younger by at most the shortest delay of a report.
     #[test]
     fn a_worker_is_never_considered_older_than_it_is(
         first in -2 * HOUR_MS as i64..2 * HOUR_MS as i64,
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -44,8 +44,8 @@
         Daemon::start_with_limits(workers, settings, json!({"sockets": 256}), bus, operator)
     }
 
-    /// The same with fault injection: system calls can be made to fail, and the wall clock can be stepped. It differs from the
-    /// real time by `wall_clock_ms` from the start.
+    /// The same with fault injection: system calls can be made to fail, and the wall clock can be stepped. It differs
+    /// from the real time by `wall_clock_ms` from the start.
     pub fn with_faults(
         workers: &[&Worker],
         settings: Value,
@@ -127,8 +127,8 @@
         Daemon::run(command, folder, self.config.clone(), None, None)
     }
 
-    /// Starts the program with the files in the folder. The listener is passed as standard input, which needs no unsafe code;
-    /// the platform passes it under another number.
+    /// Starts the program with the files in the folder. The listener is passed as standard input, which needs no unsafe
+    /// code; the platform passes it under another number.
     pub fn spawn(folder: Arc<Folder>, config: Value, listener: Option<&TcpListener>) -> Daemon {
         Daemon::spawn_faulty(folder, config, listener, None)
     }
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -83,8 +83,8 @@
 #[test]
 fn the_backup_becomes_active_when_the_active_daemon_shuts_down() {
     let (one, two) = (Worker::over_tcp(), Worker::over_tcp());
-    // Each must know the other's port before it starts. No other test binds these addresses, so the ports that the system
-    // has allocated stay free.
+    // Each must know the other's port before it starts. No other test binds these addresses, so the ports that the
+    // system has allocated stay free.
     let [low, high] =
         ["127.0.0.61:0", "127.0.0.62:0"].map(|at| UdpSocket::bind(at).unwrap().local_addr().unwrap());
     let backup = start(&one, 100, 50, &low.to_string(), high);
