--- a/lab/shim/src/lib.rs
+++ b/lab/shim/src/lib.rs
@@ -9,7 +9,7 @@
 #[allow(dead_code)]
 mod layout;
 
-use layout::{Call, SHORT, WALL_OFFSET};
+use layout::{Call, SHORT_TRANSFER, WALL_OFFSET};
 use libc::{c_int, c_void, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::{CStr, CString};
 use std::sync::OnceLock;
@@ -66,11 +66,11 @@
     let pass = |left: u64| left.checked_sub(1);
     if words[call.passing()].fetch_update(Ordering::AcqRel, Ordering::Acquire, pass).is_ok() {
         let short = words[call.passing_short()].load(Ordering::Acquire) != 0;
-        return short.then_some(SHORT);
+        return short.then_some(SHORT_TRANSFER);
     }
     let take = |left: u64| match left {
         0 => None,
-        layout::ALWAYS => Some(layout::ALWAYS),
+        layout::UNTIL_CLEARED => Some(layout::UNTIL_CLEARED),
         left => Some(left - 1),
     };
     words[call.remaining()].fetch_update(Ordering::AcqRel, Ordering::Acquire, take).ok()?;
@@ -131,7 +131,7 @@
     }
     match fault(call) {
         None => Ok(count),
-        Some(SHORT) => Ok(1),
+        Some(SHORT_TRANSFER) => Ok(1),
         Some(errno) => Err(errno),
     }
 }
@@ -182,13 +182,13 @@
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let fault = fault(Call::Socket);
     if let Some(errno) = fault
-        && errno != SHORT
+        && errno != SHORT_TRANSFER
     {
         return fail(errno);
     }
     // SAFETY: the caller's arguments are passed on.
     let made = unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int };
-    if fault == Some(SHORT) && made >= 0 {
+    if fault == Some(SHORT_TRANSFER) && made >= 0 {
         limit_send_buffer(made);
     }
     made
--- a/lab/src/faults.rs
+++ b/lab/src/faults.rs
@@ -3,7 +3,7 @@
 
 pub mod layout;
 
-pub use layout::{ALWAYS, Call, SHORT};
+pub use layout::{Call, SHORT_TRANSFER, UNTIL_CLEARED};
 
 use std::fs::File;
 use std::io;
@@ -47,7 +47,7 @@
         self.set(layout::WALL_OFFSET, (milliseconds * 1_000_000) as u64)
     }
 
-    /// The next `times` of these calls fail with this errno; [`ALWAYS`] until [`Faults::clear`].
+    /// The next `times` of these calls fail with this errno; [`UNTIL_CLEARED`] until [`Faults::clear`].
     pub fn fail(&self, call: Call, errno: u64, times: u64) -> io::Result<()> {
         self.fail_after(call, 0, errno, times)
     }
--- a/lab/src/faults/layout.rs
+++ b/lab/src/faults/layout.rs
@@ -14,9 +14,9 @@
 pub const LENGTH: usize = FIRST_FAULT + WORDS * Call::ALL.len();
 /// An errno that stands for no failure: reads and writes move one byte, and new sockets have the least room for what
 /// they send.
-pub const SHORT: u64 = 4_095;
+pub const SHORT_TRANSFER: u64 = 4_095;
 /// Comes until it is cleared.
-pub const ALWAYS: u64 = u64::MAX;
+pub const UNTIL_CLEARED: u64 = u64::MAX;
 
 /// A system call, or a group of them, that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/lab/src/rig/environment/troubles.rs
+++ b/lab/src/rig/environment/troubles.rs
@@ -3,7 +3,7 @@
 
 use super::super::scenario::What;
 use super::*;
-use crate::faults::{ALWAYS, Call, SHORT};
+use crate::faults::{Call, SHORT_TRANSFER, UNTIL_CLEARED};
 use rand::RngExt;
 
 /// A system call, the errno with which it fails, and how often.
@@ -28,8 +28,8 @@
     (Call::Wait, EINTR, 200),
     (Call::Read, EINTR, 200),
     (Call::Write, EINTR, 200),
-    (Call::Read, SHORT, 5_000),
-    (Call::Write, SHORT, 5_000),
+    (Call::Read, SHORT_TRANSFER, 5_000),
+    (Call::Write, SHORT_TRANSFER, 5_000),
     (Call::ReceiveDatagram, EHOSTUNREACH, 50),
     (Call::SendDatagram, ENOBUFS, 50),
 ];
@@ -240,7 +240,7 @@
                 let (call, errno, times) = failure(drawn);
                 faults.fail(call, errno, times)?;
             }
-            _ => faults.fail(Call::WriteFile, ENOSPC, ALWAYS)?,
+            _ => faults.fail(Call::WriteFile, ENOSPC, UNTIL_CLEARED)?,
         }
         Ok(())
     }
--- a/lab/src/scale/real_domain.rs
+++ b/lab/src/scale/real_domain.rs
@@ -40,7 +40,7 @@
 pub fn play(plan: &Plan) -> Result<Vec<Row>, String> {
     let worker = Worker::over_tcp();
     let configuration = Configuration::new(plan.workers, worker.address());
-    worker.serve(|heard| match heard.word() {
+    worker.serve(|heard| match heard.verb() {
         "stat" => Some(("alive", String::new())),
         _ => echo(heard),
     });
--- a/lab/src/scale/real_fleet.rs
+++ b/lab/src/scale/real_fleet.rs
@@ -23,7 +23,7 @@
     let plan = &Plan { workers: plan.workers.min(MOST_PROBED), ..plan.clone() };
     let worker = Worker::over_tcp();
     let configuration = Configuration::new(plan.workers, worker.address());
-    worker.serve(|heard| match heard.word() {
+    worker.serve(|heard| match heard.verb() {
         "stat" => Some(("alive", String::new())),
         _ => echo(heard),
     });
--- a/lab/src/stand_ins.rs
+++ b/lab/src/stand_ins.rs
@@ -25,13 +25,13 @@
 /// A stream of either kind.
 pub trait Wire: Read + Write + Send {
     /// Another handle of it.
-    fn twin(&self) -> Box<dyn Wire>;
+    fn clone_handle(&self) -> Box<dyn Wire>;
     /// Ends it in both directions.
     fn end(&self);
 }
 
 impl Wire for TcpStream {
-    fn twin(&self) -> Box<dyn Wire> {
+    fn clone_handle(&self) -> Box<dyn Wire> {
         Box::new(self.try_clone().unwrap())
     }
     fn end(&self) {
@@ -40,7 +40,7 @@
 }
 
 impl Wire for UnixStream {
-    fn twin(&self) -> Box<dyn Wire> {
+    fn clone_handle(&self) -> Box<dyn Wire> {
         Box::new(self.try_clone().unwrap())
     }
     fn end(&self) {
@@ -49,7 +49,7 @@
 }
 
 /// A line that a worker was sent, and the connection to answer on.
-pub struct Heard {
+pub struct ReceivedLine {
     /// The line.
     pub line: Value,
     /// The number of its connection, from 0.
@@ -57,9 +57,9 @@
     wire: Box<dyn Wire>,
 }
 
-impl Heard {
+impl ReceivedLine {
     /// Writes a line.
-    pub fn say(&mut self, answer: Value) {
+    pub fn send_line(&mut self, answer: Value) {
         let _ = self.wire.write_all(format!("{answer}\n").as_bytes());
     }
 
@@ -69,12 +69,12 @@
     }
 
     /// Writes bytes as they are.
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         let _ = self.wire.write_all(bytes);
     }
 
     /// `go`, `halt`, `stage`, ... whichever wire it came by.
-    pub fn word(&self) -> &str {
+    pub fn verb(&self) -> &str {
         match self.line["verb"].as_str().or(self.line["method"].as_str()).unwrap() {
             "call" => "go",
             "cancel" => "halt",
@@ -84,7 +84,7 @@
     }
 
     /// The name under which an answer goes back.
-    pub fn name(&self) -> String {
+    pub fn request_id(&self) -> String {
         let name = if self.line.get("verb").is_some() { &self.line["rid"] } else { &self.line["id"] };
         name.as_str().unwrap().to_owned()
     }
@@ -93,13 +93,13 @@
     pub fn answer(&mut self, status: &str, content: &str) {
         let answer = match self.line.get("verb") {
             Some(_) => {
-                json!({"verb": status, "rid": self.name(), "content": content, "attrs": {"replicas": 1}})
+                json!({"verb": status, "rid": self.request_id(), "content": content, "attrs": {"replicas": 1}})
             }
-            None if status == "200" && self.word() == "stage" => {
-                json!({"jsonrpc": "2.0", "id": self.name(), "result": {"copies": 1}})
+            None if status == "200" && self.verb() == "stage" => {
+                json!({"jsonrpc": "2.0", "id": self.request_id(), "result": {"copies": 1}})
             }
             None if status == "200" => {
-                json!({"jsonrpc": "2.0", "id": self.name(), "result": {"body": content}})
+                json!({"jsonrpc": "2.0", "id": self.request_id(), "result": {"body": content}})
             }
             None => {
                 let code = match status {
@@ -108,15 +108,15 @@
                     "504" => -32012,
                     _ => -32000,
                 };
-                json!({"jsonrpc": "2.0", "id": self.name(), "error": {"code": code, "message": status}})
+                json!({"jsonrpc": "2.0", "id": self.request_id(), "error": {"code": code, "message": status}})
             }
         };
-        self.say(answer);
+        self.send_line(answer);
     }
 }
 
 /// Where a worker listens.
-pub enum At {
+pub enum WorkerAddress {
     /// A worker.
     Tcp(SocketAddr),
     /// A checker.
@@ -126,17 +126,17 @@
 /// A worker that hands every line to the test.
 pub struct Worker {
     /// Where it listens.
-    pub at: At,
-    heard: Receiver<Heard>,
+    pub at: WorkerAddress,
+    heard: Receiver<ReceivedLine>,
 }
 
-fn hear(wire: Box<dyn Wire>, connection: usize, to: Sender<Heard>) {
+fn hear(wire: Box<dyn Wire>, connection: usize, to: Sender<ReceivedLine>) {
     thread::spawn(move || {
-        let write = wire.twin();
+        let write = wire.clone_handle();
         for line in BufReader::new(wire).lines() {
             let Ok(line) = line else { return };
             let line = serde_json::from_str(&line).expect("every line is JSON");
-            if to.send(Heard { line, connection, wire: write.twin() }).is_err() {
+            if to.send(ReceivedLine { line, connection, wire: write.clone_handle() }).is_err() {
                 return;
             }
         }
@@ -147,7 +147,7 @@
     /// A worker.
     pub fn over_tcp() -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = At::Tcp(listener.local_addr().unwrap());
+        let at = WorkerAddress::Tcp(listener.local_addr().unwrap());
         let (to, heard) = channel();
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
@@ -166,33 +166,36 @@
                 hear(Box::new(stream.unwrap()), number, to.clone());
             }
         });
-        Worker { at: At::Unix(path.to_owned()), heard }
+        Worker { at: WorkerAddress::Unix(path.to_owned()), heard }
     }
 
     /// The next line; orders to load are answered on the way, and counted.
-    pub fn next(&self) -> Heard {
+    pub fn next(&self) -> ReceivedLine {
         self.heard.recv_timeout(LONG).expect("the worker hears something")
     }
 
     /// A line, if one has come.
-    pub fn poll(&self) -> Option<Heard> {
+    pub fn poll(&self) -> Option<ReceivedLine> {
         thread::sleep(Duration::from_millis(1));
         self.heard.try_recv().ok()
     }
 
     /// A worker's address.
     pub fn address(&self) -> SocketAddr {
-        let At::Tcp(address) = self.at else { panic!("an agent") };
+        let WorkerAddress::Tcp(address) = self.at else { panic!("an agent") };
         address
     }
 
     /// Whether nothing has come that the daemon sent before it answered what the caller has just read.
-    pub fn quiet(&self) -> bool {
+    pub fn received_nothing(&self) -> bool {
         self.heard.try_recv().is_err()
     }
 
     /// Answers every line as `how` says, for as long as the test lasts; the lines are kept.
-    pub fn serve(self, how: impl Fn(&Heard) -> Option<(&'static str, String)> + Send + 'static) -> Lines {
+    pub fn serve(
+        self,
+        how: impl Fn(&ReceivedLine) -> Option<(&'static str, String)> + Send + 'static,
+    ) -> Lines {
         let lines = Lines::default();
         let kept = lines.clone();
         thread::spawn(move || {
@@ -265,7 +268,7 @@
 }
 
 /// What the second address says to these bytes: the status, 0 for a close, and what follows the head.
-pub fn operate(at: SocketAddr, bytes: &[u8]) -> (u16, String) {
+pub fn send_operator_request(at: SocketAddr, bytes: &[u8]) -> (u16, String) {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
     stream.write_all(bytes).unwrap();
@@ -276,7 +279,7 @@
 }
 
 /// A client of the binary front.
-pub struct Frames(pub TcpStream);
+pub struct FrameClient(pub TcpStream);
 
 /// A frame of the binary front.
 pub fn frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
@@ -311,12 +314,12 @@
     request(&list, body)
 }
 
-impl Frames {
+impl FrameClient {
     /// Connects to a daemon's door.
-    pub fn connect(at: SocketAddr) -> Frames {
+    pub fn connect(at: SocketAddr) -> FrameClient {
         let stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Frames(stream)
+        FrameClient(stream)
     }
 
     /// Writes bytes.
@@ -336,14 +339,14 @@
 }
 
 /// A client of the JSON-RPC front.
-pub struct Rpc(pub BufReader<UnixStream>);
+pub struct RpcClient(pub BufReader<UnixStream>);
 
-impl Rpc {
+impl RpcClient {
     /// Connects to a daemon's socket.
-    pub fn connect(path: &Path) -> Rpc {
+    pub fn connect(path: &Path) -> RpcClient {
         let stream = UnixStream::connect(path).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Rpc(BufReader::new(stream))
+        RpcClient(BufReader::new(stream))
     }
 
     /// Writes a line.
@@ -368,8 +371,8 @@
 }
 
 /// Answers with the body it was sent; orders stand.
-pub fn echo(heard: &Heard) -> Option<(&'static str, String)> {
-    match heard.word() {
+pub fn echo(heard: &ReceivedLine) -> Option<(&'static str, String)> {
+    match heard.verb() {
         "go" => {
             let line = &heard.line;
             let body = line.get("content").or(line.pointer("/params/body")).unwrap().as_str().unwrap();
@@ -381,7 +384,7 @@
 }
 
 /// Counts of the words heard.
-pub fn tally(lines: &Lines) -> HashMap<String, usize> {
+pub fn count_by_verb(lines: &Lines) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for line in lines.0.lock().unwrap().iter() {
         let word = line["verb"].as_str().or(line["method"].as_str()).unwrap();
--- a/tests/chain.rs
+++ b/tests/chain.rs
@@ -12,7 +12,7 @@
 use rig::*;
 use serde_json::{Value, json};
 
-fn daemon(worker: &Worker) -> (Daemon, Rpc) {
+fn daemon(worker: &Worker) -> (Daemon, RpcClient) {
     // Far more time than a busy machine takes: no verdict here may hang on how fast it is.
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().unwrap() {
@@ -23,7 +23,7 @@
     let daemon = Daemon::start_with(&[worker], settings, None, |folder| {
         format!("[jsonrpc]\nsocket = \"{}\"\n", folder.at("calls.sock").display())
     });
-    let client = Rpc::connect(&daemon.folder.at("calls.sock"));
+    let client = RpcClient::connect(&daemon.folder.at("calls.sock"));
     (daemon, client)
 }
 
@@ -51,7 +51,7 @@
     let worker = Worker::over_tcp();
     let (daemon, mut client) = daemon(&worker);
     // Each worker's answer is its body and a letter more.
-    let lines = worker.serve(|heard| match heard.word() {
+    let lines = worker.serve(|heard| match heard.verb() {
         "go" => {
             let engine = &base64::engine::general_purpose::STANDARD;
             let body = base64::Engine::decode(engine, heard.line["content"].as_str().unwrap()).unwrap();
@@ -69,7 +69,7 @@
     // A repeat inside the window runs the credit step no second time.
     client.send(&chain(2, three()).to_string());
     assert_eq!(client.next()["result"]["body"], "YXh4eA==");
-    assert_eq!(tally(&lines)["go"], 5, "two steps that may be repeated were");
+    assert_eq!(count_by_verb(&lines)["go"], 5, "two steps that may be repeated were");
     assert_eq!((daemon.counter("chains"), daemon.counter("chains_served")), (2, 2));
 }
 
@@ -91,7 +91,7 @@
     assert!(error["data"]["cooldown_ms"].as_u64().unwrap() > 0);
     let mut order = worker.next();
     assert_eq!(
-        (order.word(), &order.line["attrs"]["name"]),
+        (order.verb(), &order.line["attrs"]["name"]),
         ("stage", &json!("00000000000000a2")),
         "for its next try"
     );
@@ -103,12 +103,12 @@
 fn a_client_that_closes_calls_its_step_off_and_a_failed_step_ends_the_chain() {
     let worker = Worker::over_tcp();
     let (daemon, mut client) = daemon(&worker);
-    let mut other = Rpc::connect(&daemon.folder.at("calls.sock"));
+    let mut other = RpcClient::connect(&daemon.folder.at("calls.sock"));
     client.send(&chain(1, three()).to_string());
     let first = worker.next();
     drop(client);
     let halt = worker.next();
-    assert_eq!((halt.word(), halt.name()), ("halt", first.name()));
+    assert_eq!((halt.verb(), halt.request_id()), ("halt", first.request_id()));
     other.send(&chain(7, three()).to_string());
     for _ in 0..3 {
         let mut heard = worker.next();
@@ -160,7 +160,7 @@
     let mut notification = chain(1, three());
     notification.as_object_mut().unwrap().remove("id");
     client.send(&notification.to_string());
-    assert!(worker.quiet());
+    assert!(worker.received_nothing());
     client.send(&chain(1, three()).to_string());
     let mut first = worker.next();
     client.send(&chain(2, three()).to_string());
@@ -198,7 +198,7 @@
     let daemon = Daemon::start_with(&workers.each_ref(), settings, None, |folder| {
         format!("[jsonrpc]\nsocket = \"{}\"\n", folder.at("calls.sock").display())
     });
-    let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
+    let mut client = RpcClient::connect(&daemon.folder.at("calls.sock"));
     // All steps call one function, whose home the first one shows.
     let one = || step("practice-check", "00000000000000a1", json!({}));
     client.send(&chain(1, vec![one(), one()]).to_string());
@@ -211,11 +211,11 @@
     assert_eq!(daemon.operate("POST", &format!("/api/exclude?name=s-{:08x}", home + 1)).0, 200);
     heard.answer("200", "YQ==");
     let mut next = workers[1 - home].next();
-    while next.word() != "go" {
+    while next.verb() != "go" {
         next.answer("200", "");
         next = workers[1 - home].next();
     }
     next.answer("200", "Yg==");
     assert_eq!(client.next()["result"]["body"], "Yg==");
-    assert!(workers[home].quiet());
+    assert!(workers[home].received_nothing());
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -241,7 +241,7 @@
     let (mut other, _) = scheduler.client();
     other.write_all(&plain_call(3)).unwrap();
     scheduler.serve(2);
-    assert_eq!(tally(lines)["go"], 2, "close {close}");
+    assert_eq!(count_by_verb(lines)["go"], 2, "close {close}");
 }
 
 /// A client closes or cancels after its request was read and before the attempt is written: the attempt is not written,
@@ -333,7 +333,7 @@
         while answered < calls - 1
             && let Some(mut command) = worker.poll()
         {
-            if command.word() == "go" {
+            if command.verb() == "go" {
                 command.answer("200", &body);
                 answered += 1;
             }
@@ -412,7 +412,7 @@
         }
         scheduler.execute_commands();
         assert_eq!(scheduler.core.counters().sent, 0, "{case}");
-        assert!(worker.quiet(), "{case}");
+        assert!(worker.received_nothing(), "{case}");
     }
 }
 
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -16,7 +16,7 @@
 use std::os::unix::net::UnixListener;
 
 /// Sends a request on this stream and returns the next frame that the client receives.
-fn serve_one(client: &mut Frames, stream: u32) -> Option<(u8, u32, Vec<u8>)> {
+fn serve_one(client: &mut FrameClient, stream: u32) -> Option<(u8, u32, Vec<u8>)> {
     client.send(&frame(0, stream, &call("practice-check", &format!("{stream:016x}"), 2000, b"x")));
     client.next()
 }
@@ -30,7 +30,7 @@
     });
     assert_eq!(daemon.operate("GET", "/api/ready"), (200, "ready\n".to_owned()));
     assert_eq!(daemon.figure("answered.credit-submit"), Some(0), "the figure is there from the start");
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
     assert_eq!(
         serve_one(&mut client, 2).map(|(_, _, payload)| payload[0]),
@@ -56,7 +56,7 @@
     let bus = Bus::new();
     let at = bus.0.local_addr().unwrap();
     let daemon = Daemon::start_with(&[&first, &second], settings(), Some(at), |_| String::new());
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2500, b"x")));
     let (mut open, home, other) = loop {
         if let Some(received) = first.poll() {
@@ -80,14 +80,14 @@
     for stream in 2..8 {
         client.send(&frame(0, stream, &call("practice-check", &format!("{stream:016x}"), 2000, b"y")));
         let mut received = other.1.next();
-        while received.word() != "go" {
+        while received.verb() != "go" {
             received.answer("200", "");
             received = other.1.next();
         }
         received.answer("200", "eA==");
         assert_eq!(client.next(), Some((1, stream, vec![79, 0, b'x'])));
     }
-    assert!(home.1.quiet(), "no new request reached it");
+    assert!(home.1.received_nothing(), "no new request reached it");
     assert_eq!(daemon.operate("POST", &format!("/api/include?name={id}")).0, 200);
     assert_eq!(daemon.figure("cluster_unhealthy"), Some(0));
     assert_eq!(daemon.operate("POST", "/api/exclude?name=s-0000ffff").0, 404);
@@ -97,7 +97,7 @@
     assert_eq!(daemon.operate("POST", &format!("/api/exclude?name={other_id}")).0, 200);
     client.send(&frame(0, 9, &call("practice-check", "0000000000000009", 2500, b"y")));
     let mut received = home.1.next();
-    while received.word() != "go" {
+    while received.verb() != "go" {
         received.answer("200", "");
         received = home.1.next();
     }
@@ -138,7 +138,7 @@
     drop(crowd);
     // A second call on one connection, and a truncated call, change nothing.
     let call = "POST /api/exclude?name=s-00000001 HTTP/1.1\r\n\r\n";
-    assert_eq!(operate(daemon.mgmt, format!("{call}{call}").as_bytes()).0, 400);
+    assert_eq!(send_operator_request(daemon.mgmt, format!("{call}{call}").as_bytes()).0, 400);
     let mut truncated = TcpStream::connect(daemon.mgmt).unwrap();
     truncated.write_all(&call.as_bytes()[..call.len() - 1]).unwrap();
     truncated.shutdown(std::net::Shutdown::Write).unwrap();
@@ -168,7 +168,7 @@
     let mut old = start_on_listener(&workers.each_ref(), &listener);
     assert_eq!(old.listen, listener.local_addr().unwrap());
     let lines = workers.map(|worker| worker.serve(echo));
-    let mut client = Frames::connect(old.listen);
+    let mut client = FrameClient::connect(old.listen);
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
     let encoded = frame(0, 2, &call("practice-check", "00000000000000bb", 2500, b"x"));
     client.send(&encoded[..20]);
@@ -189,7 +189,7 @@
     assert_eq!(new.operate("POST", "/api/include?name=s-00000002").0, 200);
     while old.figure("cluster_unhealthy") != Some(1) {}
     old.signal("TERM");
-    let mut other = Frames::connect(old.listen);
+    let mut other = FrameClient::connect(old.listen);
     assert_eq!(serve_one(&mut other, 3), Some((1, 3, vec![79, 0, b'x'])));
     assert_eq!(new.figure("answered.practice-check"), Some(1), "the new process accepted it");
     client.send(&encoded[20..]);
@@ -205,10 +205,10 @@
     next.serves();
     assert_eq!(next.figure("cluster_unhealthy"), Some(1));
     new.signal("TERM");
-    let mut client = Frames::connect(next.listen);
+    let mut client = FrameClient::connect(next.listen);
     assert_eq!(serve_one(&mut client, 4), Some((1, 4, vec![79, 0, b'x'])));
     assert!(new.ends());
-    let calls = |n: usize| tally(&lines[n]).get("go").copied().unwrap_or(0);
+    let calls = |n: usize| count_by_verb(&lines[n]).get("go").copied().unwrap_or(0);
     assert_eq!(calls(0) + calls(1) + calls(2), 4, "each request ran once");
 }
 
@@ -225,13 +225,13 @@
     old.wait_log("listener=closed");
     new.signal("KILL");
     old.wait_log("listener=open");
-    let mut client = Frames::connect(old.listen);
+    let mut client = FrameClient::connect(old.listen);
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
     old.signal("KILL");
     assert!(!old.ends() && !new.ends());
     let mut again = old.spawn_beside(&listener);
     again.serves();
-    let mut client = Frames::connect(again.listen);
+    let mut client = FrameClient::connect(again.listen);
     assert_eq!(serve_one(&mut client, 2), Some((1, 2, vec![79, 0, b'x'])));
 }
 
@@ -267,22 +267,22 @@
     let worker = Worker::over_tcp();
     let mut daemon = Daemon::start(&[&worker]);
     let body: Vec<u8> = (0..230_000u32).map(|n| n as u8).collect();
-    let mut slow = Frames::connect(daemon.listen);
+    let mut slow = FrameClient::connect(daemon.listen);
     slow.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2900, b"x")));
     let mut received = worker.next();
-    let mut quick = Frames::connect(daemon.listen);
+    let mut quick = FrameClient::connect(daemon.listen);
     quick.send(&frame(0, 1, &call("practice-check", "00000000000000bb", 2900, b"x")));
     let mut other = worker.next();
     let content = base64::Engine::encode(&base64::engine::general_purpose::STANDARD, &body);
-    let line = json!({"verb": "200", "rid": received.name(), "content": content}).to_string();
+    let line = json!({"verb": "200", "rid": received.request_id(), "content": content}).to_string();
     let (first, rest) = line.as_bytes().split_at(line.len() - 10);
     for piece in first.chunks(30_000) {
-        received.raw(piece);
+        received.send_bytes(piece);
     }
     other.answer("200", "eA==");
     assert_eq!(quick.next(), Some((1, 1, vec![79, 0, b'x'])), "other requests are not delayed by it");
-    received.raw(rest);
-    received.raw(b"\n");
+    received.send_bytes(rest);
+    received.send_bytes(b"\n");
     daemon.wait_counter("served", 2);
     daemon.signal("TERM");
     daemon.wait_log("ending");
@@ -306,7 +306,7 @@
     new.wait_log("upgrade configuration of the old process");
     old.signal("TERM");
     assert!(old.ends());
-    let mut client = Frames::connect(new.listen);
+    let mut client = FrameClient::connect(new.listen);
     assert_eq!(serve_one(&mut client, 1), Some((1, 1, vec![79, 0, b'x'])));
     std::fs::write(new.folder.at("config.json"), "{").unwrap();
     let mut next = new.spawn_beside(&listener);
@@ -347,11 +347,11 @@
     let mut old = first.spawn_beside(&listener);
     old.serves();
     old.wait_log("state=Active");
-    let mut before = Rpc::connect(&old.folder.at("calls.sock"));
+    let mut before = RpcClient::connect(&old.folder.at("calls.sock"));
     let mut new = old.spawn_beside(&listener);
     new.serves();
     new.wait_log("state=Active");
-    let mut after = Rpc::connect(&old.folder.at("calls.sock"));
+    let mut after = RpcClient::connect(&old.folder.at("calls.sock"));
     old.signal("TERM");
     for (client, name) in [(&mut before, "00000000000000aa"), (&mut after, "00000000000000bb")] {
         client.send(&rpc_call(&json!(1), "practice-check", name, 2000, "eA==").to_string());
@@ -367,7 +367,7 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::with_limits(&[&worker], json!({"sockets": 96}));
     worker.serve(echo);
-    let mut slow = Frames::connect(daemon.listen);
+    let mut slow = FrameClient::connect(daemon.listen);
     let encoded = frame(0, 1, &call("practice-check", "00000000000000aa", 2500, b"x"));
     let mut crowd = Vec::new();
     for piece in encoded.chunks(encoded.len() / 4 + 1) {
--- a/tests/discovery_outage.rs
+++ b/tests/discovery_outage.rs
@@ -102,7 +102,7 @@
         let (drains_since, rejected_by_handler) = (since.clone(), rejected.clone());
         worker.serve(move |received| {
             let drains = drains_since.lock().unwrap().is_some();
-            match received.word() {
+            match received.verb() {
                 "stat" => Some((if drains { "dead" } else { "alive" }, String::new())),
                 "stage" if received.line["attrs"]["replicas"] == 0 => Some(("200", String::new())),
                 word @ ("go" | "stage") if drains => {
@@ -153,8 +153,8 @@
 impl Client {
     /// Sends requests for several functions at a constant rate until the given time and collects their answers.
     fn run(listen: std::net::SocketAddr, scheduler: usize, until: Instant) -> Client {
-        let mut frames = Frames::connect(listen);
-        let mut answers = Frames(frames.0.try_clone().unwrap());
+        let mut frames = FrameClient::connect(listen);
+        let mut answers = FrameClient(frames.0.try_clone().unwrap());
         let verdicts = thread::spawn(move || {
             let mut verdicts = vec![];
             while let Some((kind, _, payload)) = answers.next() {
--- a/tests/distribution_processes.rs
+++ b/tests/distribution_processes.rs
@@ -198,7 +198,7 @@
 
 /// Sends a call whose worker echoes the body, and returns the status byte of the reply: 79 if it was served.
 fn call_status(daemon: &Daemon, class: &str, number: u32) -> u8 {
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, number, &call(class, &format!("{number:016x}"), 2900, b"x")));
     client.next().expect("a reply").2[0]
 }
@@ -316,8 +316,8 @@
 }
 
 /// Replies to requests and loads as [`echo`] does, and to health checks as a worker that accepts work.
-fn echo_or_alive(heard: &Heard) -> Option<(&'static str, String)> {
-    if heard.word() == "stat" { Some(("alive", String::new())) } else { echo(heard) }
+fn echo_or_alive(heard: &ReceivedLine) -> Option<(&'static str, String)> {
+    if heard.verb() == "stat" { Some(("alive", String::new())) } else { echo(heard) }
 }
 
 /// A configuration that fails the checks of the publisher changes nothing on any process. A version that passes there
@@ -425,7 +425,7 @@
     domain.wait_installed(&[0]);
     let subscriber = &domain.subscribers[0];
     wait_figure(subscriber, "cluster_size", 1);
-    let mut client = Frames::connect(subscriber.listen);
+    let mut client = FrameClient::connect(subscriber.listen);
     client.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 60_000, b"early")));
     let mut early = next_attempt(&worker, "ZWFybHk=");
     let mut config = domain.replicas[publisher].config.clone();
@@ -443,9 +443,9 @@
 }
 
 /// The next attempt of the call with this body.
-fn next_attempt(worker: &Worker, body: &str) -> Heard {
+fn next_attempt(worker: &Worker, body: &str) -> ReceivedLine {
     wait_for(body, || {
-        Some(worker.next()).filter(|heard| heard.word() == "go" && heard.line["content"] == *body)
+        Some(worker.next()).filter(|heard| heard.verb() == "go" && heard.line["content"] == *body)
     })
 }
 
--- a/tests/faults/accept.rs
+++ b/tests/faults/accept.rs
@@ -5,7 +5,7 @@
     ECONNABORTED, EINTR, ENETDOWN, ENETUNREACH, ENFILE, EPROTO, TRANSIENT_ERRNOS, assert_served,
     faulty_daemon, plain_call,
 };
-use lab::faults::{ALWAYS, Call};
+use lab::faults::{Call, UNTIL_CLEARED};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -22,7 +22,7 @@
     let daemon = Daemon::with_faults(&[&worker], settings(), None, operator, 0);
     for errno in TRANSIENT_ERRNOS {
         daemon.faults().fail(Call::Accept, errno, 1).unwrap();
-        let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
+        let mut client = RpcClient::connect(&daemon.folder.at("calls.sock"));
         client.send(r#"{"jsonrpc":"2.0","id":1,"method":"ready"}"#);
         assert_eq!(client.next()["result"]["ready"], json!(true), "errno {errno}");
     }
@@ -34,8 +34,8 @@
     let worker = Worker::over_tcp();
     let daemon = faulty_daemon(&[&worker], settings());
     worker.serve(echo);
-    daemon.faults().fail(Call::Accept, ENFILE, ALWAYS).unwrap();
-    let mut client = Frames(TcpStream::connect(daemon.listen).unwrap());
+    daemon.faults().fail(Call::Accept, ENFILE, UNTIL_CLEARED).unwrap();
+    let mut client = FrameClient(TcpStream::connect(daemon.listen).unwrap());
     client.0.set_read_timeout(Some(LONG)).unwrap();
     client.send(&plain_call(1));
     thread::sleep(Duration::from_millis(300));
@@ -80,12 +80,12 @@
     let worker = Worker::over_tcp();
     let daemon = faulty_daemon(&[&worker], settings());
     worker.serve(echo);
-    let mut idle = Frames::connect(daemon.listen);
+    let mut idle = FrameClient::connect(daemon.listen);
     idle.send(&plain_call(1));
     assert_served(&mut idle, 1);
     for errno in [ECONNABORTED, EPROTO, ENETDOWN, ENETUNREACH, EINTR] {
         daemon.faults().fail(Call::Accept, errno, 1).unwrap();
-        let mut other = Frames::connect(daemon.listen);
+        let mut other = FrameClient::connect(daemon.listen);
         other.send(&plain_call(1));
         assert_served(&mut other, 1);
     }
--- a/tests/faults/connections.rs
+++ b/tests/faults/connections.rs
@@ -5,7 +5,7 @@
     EADDRNOTAVAIL, ECONNRESET, EHOSTUNREACH, EINTR, EIO, ENETUNREACH, ENFILE, ENOBUFS, ETIMEDOUT,
     assert_served, faulty_daemon, plain_call,
 };
-use lab::faults::{ALWAYS, Call, SHORT};
+use lab::faults::{Call, SHORT_TRANSFER, UNTIL_CLEARED};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -23,8 +23,8 @@
             let worker = Worker::over_tcp();
             let daemon = faulty_daemon(&[&worker], settings());
             worker.serve(echo);
-            let mut client = Frames::connect(daemon.listen);
-            daemon.faults().fail(failing, errno, ALWAYS).unwrap();
+            let mut client = FrameClient::connect(daemon.listen);
+            daemon.faults().fail(failing, errno, UNTIL_CLEARED).unwrap();
             let started = Instant::now();
             client.send(&plain_call(1));
             let answer = client.next().expect("an answer");
@@ -45,9 +45,9 @@
     let daemon = faulty_daemon(&[&worker], settings());
     worker.serve(echo);
     daemon.faults().fail(Call::Wait, EINTR, 200).unwrap();
-    daemon.faults().fail(Call::Read, SHORT, ALWAYS).unwrap();
-    daemon.faults().fail(Call::Write, SHORT, ALWAYS).unwrap();
-    let mut client = Frames::connect(daemon.listen);
+    daemon.faults().fail(Call::Read, SHORT_TRANSFER, UNTIL_CLEARED).unwrap();
+    daemon.faults().fail(Call::Write, SHORT_TRANSFER, UNTIL_CLEARED).unwrap();
+    let mut client = FrameClient::connect(daemon.listen);
     for stream in 1..=20 {
         client.send(&plain_call(stream));
         assert_served(&mut client, stream);
@@ -63,7 +63,7 @@
     let worker = Worker::over_tcp();
     let daemon = faulty_daemon(&[&worker], settings());
     worker.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     for stream in 1..=20 {
         daemon.faults().fail(Call::Read, EINTR, 3).unwrap();
         daemon.faults().fail(Call::Write, EINTR, 3).unwrap();
@@ -78,18 +78,22 @@
     for errno in [ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, EIO] {
         let worker = Worker::over_tcp();
         let daemon = faulty_daemon(&[&worker], settings());
-        let mut client = Frames::connect(daemon.listen);
+        let mut client = FrameClient::connect(daemon.listen);
         client.send(&plain_call(1));
         let mut command = worker.next();
         daemon.signal("STOP");
-        let line = json!({"verb": "200", "rid": command.name(), "content": "eA==", "attrs": {}}).to_string();
-        command.raw(format!("{line}\n").as_bytes());
+        let line =
+            json!({"verb": "200", "rid": command.request_id(), "content": "eA==", "attrs": {}}).to_string();
+        command.send_bytes(format!("{line}\n").as_bytes());
         thread::sleep(Duration::from_millis(20));
         daemon.faults().fail_after(Call::Read, 1, errno, 1).unwrap();
         daemon.signal("CONT");
         assert_served(&mut client, 1);
         assert_eq!(daemon.faults().injected(Call::Read).unwrap(), 1, "errno {errno}");
-        assert!(worker.quiet(), "errno {errno}: it was sent again although its answer had arrived");
+        assert!(
+            worker.received_nothing(),
+            "errno {errno}: it was sent again although its answer had arrived"
+        );
     }
 }
 
@@ -141,11 +145,11 @@
     let mut settings = settings();
     settings["fleetSize"] = json!(100);
     let daemon = Daemon::with_faults(&[], settings, Some(bus.0.local_addr().unwrap()), |_| String::new(), 0);
-    daemon.faults().fail(Call::Socket, SHORT, ALWAYS).unwrap();
+    daemon.faults().fail(Call::Socket, SHORT_TRANSFER, UNTIL_CLEARED).unwrap();
     let (mut bus, _) = bus.accept();
     bus.write_all(&change(2, 9, slow.at, 0, 0)).unwrap();
     daemon.wait_counter("list_events", 2);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     let sent = Instant::now();
     for stream in 1..=20 {
         let reference = format!("{stream:016x}");
@@ -177,7 +181,7 @@
 fn the_trace_log_follows_a_call() {
     let worker = Worker::over_tcp();
     let daemon = faulty_daemon(&[&worker], settings());
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&plain_call(1));
     worker.next().answer("500", "");
     worker.next().answer("200", "eA==");
--- a/tests/faults/files.rs
+++ b/tests/faults/files.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::*;
 use crate::{EIO, ENOSPC, faulty_daemon};
-use lab::faults::{ALWAYS, Call};
+use lab::faults::{Call, UNTIL_CLEARED};
 use serde_json::{Value, json};
 use std::net::TcpListener;
 use std::thread;
@@ -19,7 +19,7 @@
         old.serves();
         let mut retuned = old.config.clone();
         retuned["settings"]["classes"][0]["worth"] = json!(7.0);
-        old.faults().fail(call, errno, ALWAYS).unwrap();
+        old.faults().fail(call, errno, UNTIL_CLEARED).unwrap();
         assert!(old.reload(&retuned.to_string()).starts_with("offset="));
         old.faults().clear(call).unwrap();
         let kept = old.folder.at("mintgate-n0.json");
--- a/tests/faults/main.rs
+++ b/tests/faults/main.rs
@@ -45,6 +45,6 @@
     frame(0, stream, &call("practice-check", &format!("{stream:016x}"), 3_000, b"x"))
 }
 
-pub(crate) fn assert_served(client: &mut Frames, stream: u32) {
+pub(crate) fn assert_served(client: &mut FrameClient, stream: u32) {
     assert_eq!(client.next(), Some((1, stream, vec![79, 0, b'x'])));
 }
--- a/tests/faults/start.rs
+++ b/tests/faults/start.rs
@@ -30,7 +30,7 @@
         let mut daemon = Daemon::spawn_faulty(first.folder.clone(), first.config.clone(), None, faults);
         daemon.serves();
         assert_eq!(daemon.faults().injected(Call::Socket).unwrap(), 5, "errno {errno}");
-        let mut client = Frames::connect(daemon.listen);
+        let mut client = FrameClient::connect(daemon.listen);
         client.send(&crate::plain_call(1));
         crate::assert_served(&mut client, 1);
     }
@@ -70,7 +70,7 @@
     assert!(old.ends());
     new.wait_log("state=Active");
     assert_eq!(new.faults().injected(Call::Socket).unwrap(), 3);
-    let mut client = Rpc::connect(&folder.at("calls.sock"));
+    let mut client = RpcClient::connect(&folder.at("calls.sock"));
     client.send(r#"{"jsonrpc":"2.0","id":1,"method":"ready"}"#);
     assert_eq!(client.next()["result"]["ready"], json!(true));
     let mut next = new.spawn_beside(&listener);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -56,7 +56,7 @@
             });
             let probes = probes.clone();
             worker.serve(move |received| {
-                let is_probe = received.word() == "stat";
+                let is_probe = received.verb() == "stat";
                 probes.lock().unwrap().extend(is_probe.then_some(n));
                 is_probe.then(|| ("alive", String::new()))
             });
--- a/tests/instants.rs
+++ b/tests/instants.rs
@@ -37,12 +37,12 @@
     for status in ["503", "500", "404"] {
         let worker = Worker::over_tcp();
         let daemon = Daemon::start(&[&worker]);
-        let mut client = Frames::connect(daemon.listen);
+        let mut client = FrameClient::connect(daemon.listen);
         client.send(&frame(0, 1, &call("practice-check", "9b1f03aa5c7e2d41", 60_000, b"")));
         let mut first = worker.next();
         first.answer(status, "");
         let mut again = worker.next();
-        assert_eq!((again.word(), again.name()), ("go", first.name()));
+        assert_eq!((again.verb(), again.request_id()), ("go", first.request_id()));
         assert_ne!(
             again.connection, first.connection,
             "{status}: on the same connection a second answer could not be told apart"
@@ -52,7 +52,7 @@
         client.send(&frame(0, 2, &call("practice-check", "00000000000000aa", 60_000, b"")));
         let mut other = worker.next();
         assert_eq!(
-            (other.word(), other.name().as_str()),
+            (other.verb(), other.request_id().as_str()),
             ("go", "00000000000000aa"),
             "{status}: there must be no third attempt"
         );
@@ -60,7 +60,7 @@
         assert_eq!(client.next(), Some((1, 2, b"\x4f\0x".to_vec())));
         again.answer("200", "eQ==");
         assert_eq!(client.next(), Some((1, 1, b"\x4f\0y".to_vec())), "{status}");
-        assert!(worker.quiet(), "{status}");
+        assert!(worker.received_nothing(), "{status}");
     }
 }
 
@@ -71,7 +71,7 @@
     let worker = Worker::over_tcp();
     let (mut daemon, mut other) = (Daemon::start(&[&worker]), Daemon::start(&[&worker]));
     worker.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(6, 9, &[0]));
     assert_eq!(client.next(), Some((7, 9, vec![79, 0])));
     let waiting = TcpStream::connect(daemon.listen).unwrap();
@@ -132,11 +132,11 @@
     feed.write_all(&event(7, 2, &second, 0)).unwrap();
     daemon.wait_counter("list_events", 5);
     let lines = second.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&request_frame(1));
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
-    assert_eq!(tally(&lines)["go"], 1);
-    assert!(first.quiet(), "it is draining");
+    assert_eq!(count_by_verb(&lines)["go"], 1);
+    assert!(first.received_nothing(), "it is draining");
 }
 
 /// Idle clients use every descriptor available to clients while discovery is down. The daemon still connects to
@@ -153,7 +153,7 @@
     };
     daemon.serves();
     let mut idle: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(daemon.listen).unwrap()).collect();
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(6, 9, &[0]));
     assert_eq!(client.next(), Some((7, 9, vec![79, 0])), "ready nevertheless");
     let bus = Bus(TcpListener::bind(at).unwrap());
@@ -162,7 +162,7 @@
     feed.write_all(&event(1, 1, &worker, 0)).unwrap();
     daemon.wait_counter("list_events", 1);
     worker.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&request_frame(1));
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
     let held = std::fs::read_dir(format!("/proc/{}/fd", daemon.child.id())).unwrap().count();
@@ -178,7 +178,7 @@
     worker.serve(echo);
     let mut daemon = template.spawn_with_descriptor_limit(40);
     daemon.serves();
-    let mut clients: Vec<Frames> = (0..60).map(|_| Frames::connect(daemon.listen)).collect();
+    let mut clients: Vec<FrameClient> = (0..60).map(|_| FrameClient::connect(daemon.listen)).collect();
     daemon.wait_log("accept failed");
     let last = clients.last_mut().unwrap();
     last.send(&request_frame(1));
@@ -190,13 +190,13 @@
 fn requests_on_a_connection_with_malformed_input_are_cancelled() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&request_frame(1));
-    assert_eq!(worker.next().word(), "go");
+    assert_eq!(worker.next().verb(), "go");
     client.send(&[0; 4]);
     assert_eq!(client.next(), Some((1, 0, vec![69, 0])));
     assert_eq!(daemon.counter("withdrawn"), 1, "before the client has closed the connection");
-    assert_eq!(worker.next().word(), "halt");
+    assert_eq!(worker.next().verb(), "halt");
 }
 
 /// A cancel frame (type 2) for a stream that was never opened, has been answered or was already cancelled has no
@@ -205,7 +205,7 @@
 fn an_unneeded_cancel_has_no_effect() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&[frame(2, 7, &[]), request_frame(1)].concat());
     worker.next().answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
@@ -213,7 +213,7 @@
         &[frame(2, 1, &[]), request_frame(2), frame(2, 2, &[]), frame(2, 2, &[]), request_frame(3)].concat(),
     );
     let mut received = worker.next();
-    assert_eq!(received.name(), format!("{:016x}", 3), "the second request was never sent");
+    assert_eq!(received.request_id(), format!("{:016x}", 3), "the second request was never sent");
     received.answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 3, vec![79, 0, b'x'])));
     assert_eq!(daemon.counter("withdrawn"), 1);
@@ -226,17 +226,17 @@
     let worker = Worker::over_tcp();
     let operator = |folder: &Folder| format!("[jsonrpc]\nsocket = {:?}\n", folder.at("rpc.sock"));
     let daemon = Daemon::start_with(&[&worker], rig::settings(), None, operator);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     suspend(&daemon);
     client.send(&request_frame(1));
     drop(client);
-    let mut rpc = Rpc::connect(&daemon.folder.at("rpc.sock"));
+    let mut rpc = RpcClient::connect(&daemon.folder.at("rpc.sock"));
     rpc.send(&rpc_call(&json!(1), "practice-check", "00000000000000aa", 60_000, "eA==").to_string());
     drop(rpc);
     daemon.signal("CONT");
     daemon.wait_counter("withdrawn", 2);
     assert_eq!((daemon.counter("taken"), daemon.counter("sent")), (2, 0));
-    assert!(worker.quiet());
+    assert!(worker.received_nothing());
 }
 
 /// A new configuration is loaded between the attempts of a request. The request keeps the class under which it was
@@ -247,7 +247,7 @@
     let mut settings = rig::settings();
     settings["classes"][1]["repeatWindowNs"] = json!(1);
     let daemon = Daemon::start_with(&[&worker], settings, None, |_| String::new());
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     let keyed =
         |stream: u32| frame(0, stream, &call("credit-submit", &format!("{stream:016x}"), 60_000, b"x"));
     client.send(&keyed(1));
@@ -265,7 +265,11 @@
     );
     second.end();
     let mut again = worker.next();
-    assert_eq!((again.word(), again.name()), ("go", second.name()), "the second request may be retried");
+    assert_eq!(
+        (again.verb(), again.request_id()),
+        ("go", second.request_id()),
+        "the second request may be retried"
+    );
     again.answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 2, vec![79, 0, b'x'])));
 }
@@ -278,7 +282,7 @@
     let daemon =
         Daemon::start_with(&[&worker], rig::settings(), Some(bus.0.local_addr().unwrap()), |_| String::new());
     let (mut feed, _) = bus.accept();
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&request_frame(1));
     worker.next().answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
@@ -319,7 +323,7 @@
     let staged = std::sync::Mutex::new(std::collections::BTreeSet::new());
     let lines = worker.serve(move |received| {
         let name = received.line["attrs"]["name"].as_str().unwrap_or_default().to_owned();
-        match received.word() {
+        match received.verb() {
             "stage" => {
                 staged.lock().unwrap().insert(name);
                 Some(("200", String::new()))
@@ -329,22 +333,25 @@
             _ => None,
         }
     });
-    let send_and_wait = |client: &mut Frames, stream: u32| {
+    let send_and_wait = |client: &mut FrameClient, stream: u32| {
         let (reference, function) = (format!("{stream:016x}"), format!("{:016x}", 0xf0 + stream));
         let list =
             [("service", "practice-check"), ("ref", &reference), ("allow", "2000"), ("lookup", &function)];
         client.send(&frame(0, stream, &request(&list, b"x")));
         client.next().unwrap().2[0]
     };
-    let mut client = Frames::connect(listener.local_addr().unwrap());
+    let mut client = FrameClient::connect(listener.local_addr().unwrap());
     assert_eq!(send_and_wait(&mut client, 1), 79);
     let mut new = old.spawn_beside(&listener);
     new.serves();
     old.wait_log("upgrade listener=closed");
     let old_verdicts = [2, 3].map(|stream| send_and_wait(&mut client, stream));
-    let mut client = Frames::connect(listener.local_addr().unwrap());
+    let mut client = FrameClient::connect(listener.local_addr().unwrap());
     let new_verdicts = [4, 5, 6].map(|stream| send_and_wait(&mut client, stream));
-    assert!(tally(&lines)["stage"] <= 3, "the site allows three loads: {old_verdicts:?} {new_verdicts:?}");
+    assert!(
+        count_by_verb(&lines)["stage"] <= 3,
+        "the site allows three loads: {old_verdicts:?} {new_verdicts:?}"
+    );
     assert_eq!(new_verdicts, [79, 79, 66], "the new process may use what is left of the limit");
 }
 
@@ -355,7 +362,7 @@
     for close_first in [true, false] {
         let worker = Worker::over_tcp();
         let daemon = Daemon::start(&[&worker]);
-        let mut client = Frames::connect(daemon.listen);
+        let mut client = FrameClient::connect(daemon.listen);
         let keyed =
             |stream: u32| frame(0, stream, &call("credit-submit", &format!("{stream:016x}"), 2900, b"x"));
         client.send(&keyed(1));
@@ -375,7 +382,7 @@
         assert!(again.connection > received.connection);
         again.answer("200", "eQ==");
         assert_eq!(client.next(), Some((1, 2, vec![79, 0, b'y'])), "close first: {close_first}");
-        assert!(worker.quiet());
+        assert!(worker.received_nothing());
     }
 }
 
@@ -385,7 +392,7 @@
 fn requests_received_before_the_end_are_all_answered() {
     let worker = Worker::over_tcp();
     let mut daemon = Daemon::start(&[&worker]);
-    let [mut out, mut half, mut again, mut late] = [(); 4].map(|()| Frames::connect(daemon.listen));
+    let [mut out, mut half, mut again, mut late] = [(); 4].map(|()| FrameClient::connect(daemon.listen));
     for client in [&mut half, &mut again, &mut late] {
         client.send(&frame(6, 9, &[0]));
         assert_eq!(client.next(), Some((7, 9, vec![79, 0])));
@@ -403,7 +410,7 @@
     third.answer("503", "");
     half.send(&whole[20..]);
     late.send(&request_frame(4));
-    let mut later = Frames::connect(daemon.listen);
+    let mut later = FrameClient::connect(daemon.listen);
     later.send(&request_frame(5));
     for _ in 0..4 {
         worker.next().answer("200", "eA==");
@@ -443,10 +450,14 @@
     last.write_all(&half).unwrap();
     daemon.wait_counter("list_events", 3);
     let lines = second.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&request_frame(1));
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
-    assert_eq!(tally(&lines)["go"], 1, "the repeated event removed no worker, and the first one is draining");
+    assert_eq!(
+        count_by_verb(&lines)["go"],
+        1,
+        "the repeated event removed no worker, and the first one is draining"
+    );
     drop(feed);
 }
 
@@ -456,19 +467,19 @@
 fn requests_after_all_clients_were_told_to_leave_are_rejected() {
     let worker = Worker::over_tcp();
     let mut daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&request_frame(1));
     let mut received = worker.next();
     daemon.signal("TERM");
     assert_eq!(client.next(), Some((9, 0, vec![])));
-    let mut late = Frames::connect(daemon.listen);
+    let mut late = FrameClient::connect(daemon.listen);
     late.send(&request_frame(2));
     worker.next().answer("200", "eA==");
     assert_eq!(late.next(), Some((1, 2, vec![79, 0, b'x'])), "it arrived soon enough");
     assert_eq!(late.next(), Some((9, 0, vec![])));
     late.send(&request_frame(3));
     assert_eq!(late.next().map(|(_, stream, payload)| (stream, payload[0])), Some((3, 66)));
-    assert!(worker.quiet());
+    assert!(worker.received_nothing());
     received.answer("200", "eQ==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'y'])), "the outstanding request is still answered");
     assert!(daemon.ends());
@@ -482,7 +493,7 @@
     let mut settings = rig::settings();
     settings["classes"][1]["repeatWindowNs"] = json!(1);
     let mut daemon = Daemon::start_with(&[&worker], settings, None, |_| String::new());
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("credit-submit", "00000000000000aa", 60_000, b"x")));
     let received = worker.next();
     daemon.signal("TERM");
@@ -490,7 +501,7 @@
     received.end();
     assert_eq!(client.next().map(|(_, stream, payload)| (stream, payload[0])), Some((1, 66)));
     assert!(daemon.ends());
-    assert!(worker.quiet());
+    assert!(worker.received_nothing());
 }
 
 /// A new configuration allows fewer descriptors than are in use: clients with open requests keep their connections, and
@@ -499,14 +510,14 @@
 fn limits_below_the_descriptors_in_use_close_no_active_connection() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&request_frame(1));
     let mut received = worker.next();
     let _idle: Vec<TcpStream> = (0..120).map(|_| TcpStream::connect(daemon.listen).unwrap()).collect();
     let mut config = daemon.config.clone();
     config["limits"]["sockets"] = json!(64);
     assert_eq!(daemon.reload(&config.to_string()), "offset=1");
-    let mut other = Frames::connect(daemon.listen);
+    let mut other = FrameClient::connect(daemon.listen);
     other.send(&request_frame(2));
     worker.next().answer("200", "eA==");
     assert_eq!(other.next(), Some((1, 2, vec![79, 0, b'x'])));
@@ -520,7 +531,7 @@
 fn a_request_from_the_socket_buffer_has_no_more_time_than_its_client() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 3_000, b"x")));
     worker.next().answer("200", "eA==");
     assert_eq!(client.next(), Some((1, 1, b"\x4f\0x".to_vec())));
@@ -534,14 +545,14 @@
     daemon.signal("CONT");
     let mut received = worker.next();
     let ttl_ms = received.line["attrs"]["ttl"].as_u64().unwrap();
-    assert_eq!(received.name(), "00000000000000bb");
+    assert_eq!(received.request_id(), "00000000000000bb");
     assert!(ttl_ms <= left + 150, "ttl {ttl_ms} ms, {left} ms left");
     received.answer("200", "eA==");
     let mut answers = [client.next().unwrap(), client.next().unwrap()];
     answers.sort();
     assert_eq!((answers[0].1, answers[0].2[0]), (2, 79));
     assert_eq!((answers[1].1, answers[1].2[0]), (3, 66), "its client no longer waits for it");
-    assert!(worker.quiet());
+    assert!(worker.received_nothing());
 }
 
 /// The same for a client that connects while the daemon is suspended.
@@ -550,7 +561,7 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     suspend(&daemon);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     let sent = std::time::Instant::now();
     client.send(&frame(0, 1, &call("practice-check", "00000000000000bb", 3_000, b"x")));
     std::thread::sleep(std::time::Duration::from_millis(800));
@@ -569,7 +580,7 @@
 fn a_request_sent_late_on_a_connection_has_its_full_time() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     std::thread::sleep(std::time::Duration::from_millis(1_000));
     client.send(&frame(0, 1, &call("practice-check", "00000000000000bb", 3_000, b"x")));
     let ttl_ms = worker.next().line["attrs"]["ttl"].as_u64().unwrap();
@@ -587,9 +598,9 @@
     old.serves();
     old.signal("KILL");
     assert!(!old.ends());
-    let mut waits = Frames::connect(listener.local_addr().unwrap());
+    let mut waits = FrameClient::connect(listener.local_addr().unwrap());
     waits.send(&frame(0, 1, &call("practice-check", "00000000000000bb", 3_000, b"x")));
-    let mut idle = Frames::connect(listener.local_addr().unwrap());
+    let mut idle = FrameClient::connect(listener.local_addr().unwrap());
     std::thread::sleep(std::time::Duration::from_millis(500));
     let mut new = first.spawn_beside(&listener);
     new.serves();
@@ -597,7 +608,7 @@
     // A client that had only connected is served like any other.
     idle.send(&frame(0, 1, &call("practice-check", "00000000000000cc", 3_000, b"x")));
     let mut received = worker.next();
-    assert_eq!(received.name(), "00000000000000cc", "the other request was not sent to the worker");
+    assert_eq!(received.request_id(), "00000000000000cc", "the other request was not sent to the worker");
     assert!(received.line["attrs"]["ttl"].as_u64().unwrap() > 2_500);
     received.answer("200", "eA==");
     assert_eq!(idle.next(), Some((1, 1, b"\x4f\0x".to_vec())));
--- a/tests/jsonrpc.rs
+++ b/tests/jsonrpc.rs
@@ -26,8 +26,8 @@
     Daemon::start_with(workers, settings(), None, operator)
 }
 
-fn connect(daemon: &Daemon) -> Rpc {
-    Rpc::connect(&daemon.folder.at("calls.sock"))
+fn connect(daemon: &Daemon) -> RpcClient {
+    RpcClient::connect(&daemon.folder.at("calls.sock"))
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let mut ids: Vec<String> = reply.as_array().unwrap().iter().map(|r| r["id"].to_string()).collect();
     ids.sort();
     assert_eq!(ids, ["\"b\"", "1", "null"]);
-    assert_eq!(tally(&lines)["go"], 2, "a call without an id is not accepted");
+    assert_eq!(count_by_verb(&lines)["go"], 2, "a call without an id is not accepted");
 }
 
 #[test]
@@ -154,10 +154,10 @@
     let error = client.next()["error"].clone();
     assert_eq!((&error["code"], &error["data"]["cooldown_ms"]), (&json!(-32001), &json!(250)));
     client.send(&rpc_call(&json!(3), "practice-check", REFERENCE, 1000, "").to_string());
-    assert_eq!(worker.next().word(), "go");
+    assert_eq!(worker.next().verb(), "go");
     let error = client.next()["error"].clone();
     assert_eq!((&error["code"], &error["data"]["outcome"]), (&json!(-32003), &json!("refused")));
-    assert_eq!(worker.next().word(), "halt");
+    assert_eq!(worker.next().verb(), "halt");
 }
 
 #[test]
@@ -194,9 +194,9 @@
     let mut command = checker.next();
     other.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 60_000, "Yg==").to_string());
     assert_eq!(other.next()["error"]["code"], -32002);
-    command.raw(b"[\n");
+    command.send_bytes(b"[\n");
     let mut again = checker.next();
-    assert_eq!(again.name(), REFERENCE);
+    assert_eq!(again.request_id(), REFERENCE);
     again.answer("200", "eA==");
     assert_eq!(client.next()["result"]["body"], "eA==");
 }
@@ -212,12 +212,12 @@
     let mut client = connect(&daemon);
     client.send(&rpc_call(&json!(1), "credit-submit", REFERENCE, 2900, "aGk=").to_string());
     let mut command = checker.next();
-    assert_eq!((command.word(), command.name().as_str()), ("go", REFERENCE));
+    assert_eq!((command.verb(), command.request_id().as_str()), ("go", REFERENCE));
     assert_eq!(command.line["params"]["key"], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
     command.answer("500", "");
     checker.next().answer("200", "YQ==");
     assert_eq!(client.next()["result"]["body"], "YQ==");
-    let mut frames = Frames::connect(daemon.listen);
+    let mut frames = FrameClient::connect(daemon.listen);
     frames.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2900, b"")));
     checker.next().answer("200", "Yg==");
     assert_eq!(frames.next(), Some((1, 1, vec![79, 0, b'b'])));
@@ -225,7 +225,7 @@
     checker.next();
     let (_, _, payload) = frames.next().unwrap();
     assert_eq!(payload[0], 66);
-    assert_eq!(checker.next().word(), "halt");
+    assert_eq!(checker.next().verb(), "halt");
 }
 
 #[test]
@@ -251,12 +251,12 @@
     while probed == 0 || loaded == 0 || home.len() < 12 {
         assert!(start.elapsed() < LONG, "{probed} probes, {loaded} load requests, {} calls", home.len());
         for mut command in checkers.iter().filter_map(Worker::poll) {
-            match command.word() {
+            match command.verb() {
                 "go" => home.push(command),
                 "probe" => {
                     probed += 1;
-                    command.say(
-                        json!({"jsonrpc": "2.0", "id": command.name(), "result": {"load": {"util": 0.5}}}),
+                    command.send_line(
+                        json!({"jsonrpc": "2.0", "id": command.request_id(), "result": {"load": {"util": 0.5}}}),
                     );
                 }
                 "stage" => {
@@ -285,7 +285,7 @@
     worker.next().end();
     assert_eq!(client.next()["error"]["code"], -32001);
     client.send(r#"{"jsonrpc":"2.0","id":2,"method":"ready"}"#);
-    assert_eq!((client.next()["id"].clone(), worker.quiet()), (json!(2), true));
+    assert_eq!((client.next()["id"].clone(), worker.received_nothing()), (json!(2), true));
 }
 
 #[test]
@@ -313,7 +313,7 @@
         format!("[jsonrpc]\nsocket = {path:?}\nmode = \"600\"\n")
     });
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
-    Rpc::connect(&path);
+    RpcClient::connect(&path);
     daemon.signal("TERM");
     daemon.child.wait().unwrap();
     assert!(!path.exists(), "removed at exit");
@@ -345,7 +345,7 @@
     std::fs::write(&path, file(&daemon.folder, "moved.sock", 1)).unwrap();
     daemon.reload(&config);
     assert!(!daemon.folder.at("calls.sock").exists());
-    let mut second = Rpc::connect(&daemon.folder.at("moved.sock"));
+    let mut second = RpcClient::connect(&daemon.folder.at("moved.sock"));
     second.send(&rpc_call(&json!(1), "practice-check", "00000000000000aa", 2900, "").to_string());
     checkers[1].next().answer("200", "eA==");
     assert_eq!(second.next()["result"]["body"], "eA==");
@@ -382,7 +382,7 @@
         (payload[0], if payload[0] == 79 { payload[2..].to_vec() } else { vec![] })
     }
     // The outcome of a call depends only on its body.
-    let answer = |command: &Heard| match command.word() {
+    let answer = |command: &ReceivedLine| match command.verb() {
         "go" => match command.line["content"].as_str().unwrap() {
             "ZnVsbA==" => Some(("503", String::new())),
             "ZXJyb3I=" => Some(("500", String::new())),
@@ -414,7 +414,7 @@
         let daemon = Daemon::start_with(&[&workers[0], &workers[1]], settings, None, operator);
         let lines: Vec<Lines> = workers.into_iter().map(|worker| worker.serve(answer)).collect();
         let mut outcomes = Vec::new();
-        let mut frames = Frames::connect(daemon.listen);
+        let mut frames = FrameClient::connect(daemon.listen);
         let mut rpc = connect(&daemon);
         // A burst of unanswered calls fills the lanes of the first instance, so that a load is requested elsewhere.
         for n in 1000..1012 {
@@ -467,7 +467,7 @@
             outcomes.push(outcome);
         }
         let mut commands = std::collections::BTreeMap::new();
-        for (name, count) in lines.iter().flat_map(tally) {
+        for (name, count) in lines.iter().flat_map(count_by_verb) {
             *commands.entry(name).or_insert(0) += count;
         }
         seen.push((outcomes, commands));
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -199,7 +199,10 @@
 
     /// Sends a request to the second address; returns the status and the body.
     pub fn operate(&self, method: &str, target: &str) -> (u16, String) {
-        operate(self.mgmt, format!("{method} {target} HTTP/1.1\r\nHost: here\r\n\r\n").as_bytes())
+        send_operator_request(
+            self.mgmt,
+            format!("{method} {target} HTTP/1.1\r\nHost: here\r\n\r\n").as_bytes(),
+        )
     }
 
     /// Reads a figure at the second address.
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -17,7 +17,7 @@
 const REFERENCE: &str = "9b1f03aa5c7e2d41";
 
 /// Asserts that the client receives nothing before the answer to a readiness query.
-fn assert_no_further_answer(client: &mut Frames, code: u8) {
+fn assert_no_further_answer(client: &mut FrameClient, code: u8) {
     client.send(&frame(6, 99, &[0]));
     assert_eq!(client.next(), Some((7, 99, vec![code, 0])), "no second answer");
 }
@@ -27,7 +27,7 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     let lines = worker.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     let body: Vec<u8> = (0..=255).collect();
     for byte in frame(0, 1, &call("practice-check", REFERENCE, 2000, &body)) {
         client.send(&[byte]);
@@ -50,7 +50,7 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     worker.serve(echo);
-    let mut other = Frames::connect(daemon.listen);
+    let mut other = FrameClient::connect(daemon.listen);
     let good = frame(0, 1, &call("practice-check", REFERENCE, 2000, b"x"));
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("length 0", vec![0; 4]),
@@ -62,7 +62,7 @@
         ("a stream used before", [good.clone(), good.clone()].concat()),
     ];
     for (what, bytes) in cases {
-        let mut client = Frames::connect(daemon.listen);
+        let mut client = FrameClient::connect(daemon.listen);
         client.send(&bytes);
         let frames: Vec<_> = std::iter::from_fn(|| client.next()).collect();
         assert_eq!(frames.last(), Some(&(1, 0, vec![69, 0])), "{what}");
@@ -81,20 +81,20 @@
     let daemon = Daemon::start(&[&worker]);
     worker.serve(echo);
     let good = frame(0, 1, &call("practice-check", REFERENCE, 2000, b"x"));
-    let mut silent = Frames::connect(daemon.listen);
+    let mut silent = FrameClient::connect(daemon.listen);
     assert_eq!(silent.next(), None, "closed");
-    let mut half = Frames::connect(daemon.listen);
+    let mut half = FrameClient::connect(daemon.listen);
     half.send(&good[..20]);
     assert_eq!(half.next(), Some((1, 0, vec![69, 0])));
     assert_eq!(half.next(), None);
     // Sixty megabytes at full speed, while others are served.
-    let mut huge = Frames::connect(daemon.listen);
+    let mut huge = FrameClient::connect(daemon.listen);
     let writer = std::thread::spawn(move || {
         let chunk = vec![0; 1 << 20];
         let head = 60_000_000u32.to_be_bytes();
         huge.0.write_all(&head).and_then(|()| (0..60).try_for_each(|_| huge.0.write_all(&chunk)))
     });
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&good);
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
     assert!(writer.join().unwrap().is_err(), "closed before all of it was read");
@@ -113,12 +113,12 @@
     };
     let mut long = frame(0, 1, &[7; 250_000]);
     long.truncate(200_000);
-    let mut clients: Vec<_> = (0..150).map(|_| Frames::connect(daemon.listen)).collect();
+    let mut clients: Vec<_> = (0..150).map(|_| FrameClient::connect(daemon.listen)).collect();
     for client in &mut clients {
         client.send(&long);
         assert_eq!(client.next(), Some((1, 1, vec![69, 0])), "answered after its header");
     }
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     assert_no_further_answer(&mut client, 79);
     assert!(resident() < 32, "{} MB", resident());
 }
@@ -128,12 +128,12 @@
 fn a_withdrawn_call_is_cancelled_at_its_worker() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", REFERENCE, 60_000, b"")));
-    assert_eq!(worker.next().word(), "go");
+    assert_eq!(worker.next().verb(), "go");
     client.send(&frame(2, 1, &[]));
     let command = worker.next();
-    assert_eq!((command.word(), command.name().as_str()), ("halt", REFERENCE));
+    assert_eq!((command.verb(), command.request_id().as_str()), ("halt", REFERENCE));
 }
 
 #[test]
@@ -141,7 +141,7 @@
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
     worker.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     let cases = [
         call("no-such-class", REFERENCE, 2000, b""),
         call("practice-check", "not hex", 2000, b""),
@@ -161,12 +161,12 @@
     // An address that no other test binds, so that the port is not reused.
     let closed = TcpListener::bind("127.0.0.77:0").unwrap();
     let mut dead = Worker::over_tcp();
-    dead.at = At::Tcp(closed.local_addr().unwrap());
+    dead.at = WorkerAddress::Tcp(closed.local_addr().unwrap());
     drop(closed);
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&dead, &worker]);
     worker.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     for n in 1..20 {
         client.send(&frame(0, n, &call("credit-submit", &format!("{n:016x}"), 2900, b"x")));
         assert_eq!(client.next(), Some((1, n, vec![79, 0, b'x'])), "sent on to the other worker");
@@ -181,7 +181,7 @@
         let mut settings = settings();
         settings["classes"][1]["repeatWindowNs"] = json!(window);
         let daemon = Daemon::start_with(&[&worker], settings, None, |_| String::new());
-        let mut client = Frames::connect(daemon.listen);
+        let mut client = FrameClient::connect(daemon.listen);
         client.send(&frame(0, 1, &call("credit-submit", REFERENCE, 2900, b"")));
         let mut keys = Vec::new();
         for _ in 0..expected {
@@ -196,7 +196,7 @@
             "all workers drop a repeat, so the call may be refused"
         );
         assert_no_further_answer(&mut client, 79);
-        assert!(worker.quiet(), "window {window}");
+        assert!(worker.received_nothing(), "window {window}");
         assert!(keys.iter().all(|key| key == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
     }
 }
@@ -208,7 +208,7 @@
     let mut settings = settings();
     settings["bounds"]["probes"] = json!(true);
     let daemon = Daemon::start_with(&[&workers[0], &workers[1]], settings, None, |_| String::new());
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("credit-submit", REFERENCE, 60_000, b"")));
     // The hash decides which of the two gets the call.
     let start = std::time::Instant::now();
@@ -223,7 +223,7 @@
         }
     };
     let mut again = other.next();
-    assert_eq!((again.word(), again.name().as_str()), ("go", REFERENCE));
+    assert_eq!((again.verb(), again.request_id().as_str()), ("go", REFERENCE));
     command.answer("200", "b2xk");
     again.answer("200", "bmV3");
     assert_eq!(client.next(), Some((1, 1, b"\x4f\0new".to_vec())));
@@ -236,14 +236,14 @@
 fn a_call_with_the_reference_of_an_open_call_fails() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let (mut client, mut other) = (Frames::connect(daemon.listen), Frames::connect(daemon.listen));
+    let (mut client, mut other) = (FrameClient::connect(daemon.listen), FrameClient::connect(daemon.listen));
     client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"a")));
     let mut command = worker.next();
     other.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"b")));
     assert_eq!(other.next(), Some((1, 1, vec![69, 0])));
     command.answer("200", "YQ==");
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'a'])));
-    assert!(worker.quiet());
+    assert!(worker.received_nothing());
     other.send(&frame(0, 2, &call("practice-check", REFERENCE, 2900, b"b")));
     worker.next().answer("200", "Yg==");
     assert_eq!(other.next(), Some((1, 2, vec![79, 0, b'b'])), "the reference is free again");
@@ -258,14 +258,14 @@
     for bytes in invalid {
         let worker = Worker::over_tcp();
         let daemon = Daemon::start(&[&worker]);
-        let mut client = Frames::connect(daemon.listen);
+        let mut client = FrameClient::connect(daemon.listen);
         client.send(&frame(0, 1, &call("practice-check", REFERENCE, 60_000, b"")));
         client.send(&frame(0, 2, &call("practice-check", "00000000000000aa", 60_000, b"")));
         let (mut one, mut two) = (worker.next(), worker.next());
         assert_ne!(one.connection, two.connection);
-        one.raw(bytes);
+        one.send_bytes(bytes);
         let mut again = worker.next();
-        assert_eq!(again.name(), one.name());
+        assert_eq!(again.request_id(), one.request_id());
         again.answer("200", "eA==");
         assert_eq!(client.next().unwrap().2, vec![79, 0, b'x']);
         two.answer("200", "eQ==");
@@ -278,7 +278,7 @@
 fn a_late_answer_is_ignored() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", REFERENCE, 1000, b"a")));
     let mut old = worker.next();
     let (kind, stream, payload) = client.next().unwrap();
@@ -287,7 +287,7 @@
         (1, 1, 66),
         "refused at its deadline, as it may be repeated safely"
     );
-    assert_eq!(worker.next().word(), "halt");
+    assert_eq!(worker.next().verb(), "halt");
     client.send(&frame(0, 2, &call("practice-check", REFERENCE, 2900, b"b")));
     let mut new = worker.next();
     assert_ne!(old.connection, new.connection);
@@ -301,14 +301,14 @@
 fn withdrawn_calls_and_closed_clients_get_no_answer() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"")));
     let mut command = worker.next();
     client.send(&frame(2, 1, &[]));
     assert_no_further_answer(&mut client, 79);
     command.answer("200", "");
     assert_no_further_answer(&mut client, 79);
-    let mut leaving = Frames::connect(daemon.listen);
+    let mut leaving = FrameClient::connect(daemon.listen);
     leaving.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2900, b"")));
     worker.next();
     drop(leaving);
@@ -320,13 +320,13 @@
 fn unexpected_replies_of_a_worker_are_ignored() {
     let worker = Worker::over_tcp();
     let daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     let unexpected = [json!({"verb": "200", "rid": "nobody"}), json!({"verb": "alive", "rid": REFERENCE})];
     for (n, line) in unexpected.into_iter().enumerate() {
         let (n, name) = (n as u32 + 1, format!("{n:016x}"));
         client.send(&frame(0, n, &call("practice-check", &name, 2900, b"")));
         let mut command = worker.next();
-        command.say(line);
+        command.send_line(line);
         command.answer("200", "eA==");
         assert_eq!(client.next(), Some((1, n, vec![79, 0, b'x'])));
         command.answer("200", "eQ==");
@@ -353,13 +353,13 @@
     let (_feed, offset) = bus.accept();
     assert_eq!(offset, 3, "an old event changes nothing, and an invalid frame closes the connection");
     let lines = second.serve(echo);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     for n in 1..20 {
         client.send(&frame(0, n, &call("practice-check", &format!("{n:016x}"), 2900, b"x")));
         assert_eq!(client.next(), Some((1, n, vec![79, 0, b'x'])));
     }
-    assert!(first.quiet(), "the draining worker gets no new call");
-    assert_eq!(tally(&lines)["go"], 19);
+    assert!(first.received_nothing(), "the draining worker gets no new call");
+    assert_eq!(count_by_verb(&lines)["go"], 19);
 }
 
 /// The connection to a bus that is cut off stays established without traffic; empty frames show that a bus is alive.
@@ -385,7 +385,7 @@
     let (mut feed, _) = bus.accept();
     feed.write_all(&event(2, 7, &second, 1)).unwrap();
     daemon.wait_counter("list_events", 2);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", REFERENCE, 60_000, b"")));
     let mut command = worker.next();
     let mut config = daemon.config.clone();
@@ -416,14 +416,14 @@
 fn calls_received_after_sigterm_are_answered() {
     let worker = Worker::over_tcp();
     let mut daemon = Daemon::start(&[&worker]);
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     assert_no_further_answer(&mut client, 79);
     client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"")));
     let mut command = worker.next();
     daemon.signal("TERM");
     assert_eq!(client.next(), Some((9, 0, vec![])));
     assert_no_further_answer(&mut client, 66);
-    let mut late = Frames::connect(daemon.listen);
+    let mut late = FrameClient::connect(daemon.listen);
     late.send(&frame(0, 1, &call("practice-check", "00000000000000aa", 2900, b"")));
     worker.next().answer("200", "eA==");
     assert_eq!(late.next(), Some((1, 1, vec![79, 0, b'x'])));
@@ -439,7 +439,7 @@
     let daemon = Daemon::start(&[&worker]);
     worker.serve(echo);
     let _idle: Vec<_> = (0..300).map(|_| TcpStream::connect(daemon.listen).unwrap()).collect();
-    let mut client = Frames::connect(daemon.listen);
+    let mut client = FrameClient::connect(daemon.listen);
     client.send(&frame(0, 1, &call("practice-check", REFERENCE, 2900, b"x")));
     assert_eq!(client.next(), Some((1, 1, vec![79, 0, b'x'])));
     let held = std::fs::read_dir(format!("/proc/{}/fd", daemon.child.id())).unwrap().count();
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -91,8 +91,8 @@
     }
 
     fn over_tcp(self, daemon: &Daemon) -> thread::JoinHandle<()> {
-        let mut frames = Frames::connect(daemon.listen);
-        let mut answers = Frames(frames.0.try_clone().unwrap());
+        let mut frames = FrameClient::connect(daemon.listen);
+        let mut answers = FrameClient(frames.0.try_clone().unwrap());
         thread::spawn(move || while answers.next().is_some() {});
         thread::spawn(move || {
             self.run(|number, reference| {
@@ -103,7 +103,7 @@
     }
 
     fn over_unix(self, daemon: &Daemon) -> thread::JoinHandle<()> {
-        let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
+        let mut client = RpcClient::connect(&daemon.folder.at("calls.sock"));
         let mut answers = client.0.get_ref().try_clone().unwrap();
         thread::spawn(move || std::io::copy(&mut answers, &mut std::io::sink()));
         thread::spawn(move || {
@@ -178,9 +178,9 @@
     for worker in workers {
         let attempts = attempts.clone();
         worker.serve(move |command| {
-            if command.word() == "go" {
+            if command.verb() == "go" {
                 let left_ms = command.line["attrs"]["ttl"].as_u64().unwrap();
-                attempts.lock().unwrap().push(Attempt { reference: command.name(), left_ms });
+                attempts.lock().unwrap().push(Attempt { reference: command.request_id(), left_ms });
             }
             echo(command)
         });
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -41,7 +41,7 @@
 }
 
 /// Sends a call and returns the error code of its answer.
-fn call_error_code(rpc: &mut Rpc, id: u32) -> Value {
+fn call_error_code(rpc: &mut RpcClient, id: u32) -> Value {
     rpc.send(&rpc_call(&json!(id), "practice-check", REFERENCE, 2900, "").to_string());
     rpc.next()["error"]["code"].clone()
 }
@@ -55,7 +55,7 @@
     let (advertisement, daemon_address) = receive_advertisement(&peer);
     assert_eq!((advertisement.vrid, advertisement.priority, advertisement.interval), (7, 100, 10));
     daemon.wait_log("state=Active was=Backup");
-    let mut client = Rpc::connect(&daemon.folder.at("calls.sock"));
+    let mut client = RpcClient::connect(&daemon.folder.at("calls.sock"));
     client.send(&rpc_call(&json!(1), "practice-check", REFERENCE, 2900, "").to_string());
     let mut received = worker.next();
     // Advertisements that are malformed, of another router or from an unknown sender change nothing.
@@ -92,7 +92,7 @@
     let mut active = start(&two, 200, 50, &high.to_string(), low);
     active.wait_log("state=Active");
     backup.wait_log("state=Backup was=Active");
-    let mut client = Rpc::connect(&backup.folder.at("calls.sock"));
+    let mut client = RpcClient::connect(&backup.folder.at("calls.sock"));
     assert_eq!(call_error_code(&mut client, 1), -32001);
     active.signal("TERM");
     active.child.wait().unwrap();
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -53,8 +53,8 @@
 
 /// Sends a series of calls at a steady rate; all are answered, and none fails.
 fn call_all(daemon: &Daemon, round: u32) {
-    let mut client = Frames::connect(daemon.listen);
-    let mut answers = Frames(client.0.try_clone().unwrap());
+    let mut client = FrameClient::connect(daemon.listen);
+    let mut answers = FrameClient(client.0.try_clone().unwrap());
     let reader = thread::spawn(move || {
         for _ in 0..CALLS_PER_SERIES {
             let (kind, _, payload) = answers.next().expect("an answer");
@@ -70,7 +70,7 @@
 
 /// Number of calls that a worker has received.
 fn calls_at(lines: &Lines) -> usize {
-    tally(lines).get("go").copied().unwrap_or(0)
+    count_by_verb(lines).get("go").copied().unwrap_or(0)
 }
 
 /// A daemon that knows one long-running worker, its discovery connection, and a second worker to be reported.
