--- a/lab/src/chains.rs
+++ b/lab/src/chains.rs
@@ -1,7 +1,7 @@
 //! Chains of a build check, a checker run and the record of credit, played three ways.
 
 use crate::fleet::{Job, KEEP, Worker};
-use mintgate::chain::estimate::{Ahead, Estimates};
+use mintgate::chain::estimate::{Estimates, PlannedStep};
 use mintgate::chain::{Chain, Step};
 use mintgate::core::{Command, Core, IncomingRequest, LoadResult, Owner, Reply, Verdict};
 use mintgate::{Duration, FunctionId, ListKind, Member, Status, Timestamp, WorkerId, settings};
@@ -146,8 +146,12 @@
                     if self.steps[chain].insert(at) {
                         self.tally.started += 1;
                         let Step { function, load_time, .. } = self.step(chain, at);
-                        let ahead =
-                            Ahead { function, class: CLASSES[at], latency_objective: WANTED, load_time };
+                        let ahead = PlannedStep {
+                            function,
+                            class: CLASSES[at],
+                            latency_objective: WANTED,
+                            load_time,
+                        };
                         let need = self.estimates.need(now, &ahead, KEEP);
                         self.begun[chain] = (now, Duration(need.load.0 + need.run.0));
                     }
@@ -205,7 +209,7 @@
         let at = self.ran[chain];
         if served && at < 3 {
             let (begun, need) = self.begun[chain];
-            self.estimates.note(now, self.plans[chain].functions[at], CLASSES[at], now - begun);
+            self.estimates.record_latency(now, self.plans[chain].functions[at], CLASSES[at], now - begun);
             self.tally.off.push(((now - begun).0 as f64 - need.0 as f64) / 1e6);
             self.ran[chain] += 1;
         }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -208,5 +208,5 @@
 
 fn serve(operator: PathBuf, trace: bool) -> Result<(), String> {
     mintgate::log::start(mintgate::log::Form::Lines, trace);
-    Sources::of_environment(Some(operator)).map_err(String::from).and_then(mintgate::daemon::start)
+    Sources::from_env(Some(operator)).map_err(String::from).and_then(mintgate::daemon::start)
 }
--- a/src/chain/estimate.rs
+++ b/src/chain/estimate.rs
@@ -38,7 +38,7 @@
 }
 
 /// What is known of a step beforehand.
-pub struct Ahead<'a> {
+pub struct PlannedStep<'a> {
     /// The function.
     pub function: FunctionId,
     /// The class, by name.
@@ -51,7 +51,7 @@
 
 impl Estimates {
     /// An answer came after so long.
-    pub fn note(&mut self, now: Timestamp, function: FunctionId, class: &str, took: Duration) {
+    pub fn record_latency(&mut self, now: Timestamp, function: FunctionId, class: &str, took: Duration) {
         let key = (function, class.to_owned());
         if !self.seen.contains_key(&key) && self.seen.len() >= FUNCTIONS {
             // Whatever has not been called for longest is the least missed.
@@ -68,7 +68,7 @@
     }
 
     /// What the step needs if it starts about now. A instance is believed to stand for `keep` after an answer.
-    pub fn need(&self, now: Timestamp, step: &Ahead, keep: Duration) -> Need {
+    pub fn need(&self, now: Timestamp, step: &PlannedStep, keep: Duration) -> Need {
         let seen = self.seen.get(&(step.function, step.class.to_owned()));
         let warm = seen.is_some_and(|seen| now - seen.last < keep);
         let took = seen.map(|seen| &seen.took).or(self.usual.get(step.class));
--- a/src/chain/mod.rs
+++ b/src/chain/mod.rs
@@ -4,13 +4,13 @@
 
 use crate::interface::{DEDUP_WINDOW_MARGIN, Duration, FunctionId, Timestamp};
 use crate::request::{Answer, IncomingRequest, Owner, Verdict};
-use estimate::{Ahead, Estimates, Need};
+use estimate::{Estimates, Need, PlannedStep};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Steps of one chain at most.
-pub const STEPS: usize = 8;
+pub const MAX_STEPS: usize = 8;
 /// The connection number under which steps are requests of the core; no front has it.
-pub const STEP: u64 = u64::MAX;
+pub const STEP_CONNECTION: u64 = u64::MAX;
 /// Answers of finished steps that are cached for retries of their chain.
 const MAX_CACHED_ANSWERS: usize = 1024;
 /// Bytes of the cached answers together.
@@ -83,13 +83,13 @@
 
 /// What is to be done.
 #[derive(Debug)]
-pub enum Do {
+pub enum Action {
     /// Take this request; its answer goes to [`Machine::step_ended`].
     Start(IncomingRequest),
     /// Call a step off.
     Withdraw(Owner),
     /// Have a instance of a later step's function stand by then, with the memory of one.
-    Want(FunctionId, f64),
+    Prewarm(FunctionId, f64),
     /// The chain's one end.
     Finish(Owner, End),
 }
@@ -99,7 +99,7 @@
     /// Wanted time and window, of a class that may be called.
     fn class(&self, name: &str) -> Option<(Duration, Option<Duration>)>;
     /// How long an idle instance stays.
-    fn keep(&self) -> Duration;
+    fn keep_alive(&self) -> Duration;
     /// How long a refused client is told to stay away.
     fn cooldown(&self) -> Duration;
 }
@@ -143,12 +143,12 @@
     }
 
     /// A chain has come. Its deadline is also the wanted time of its last step's class.
-    pub fn begin(&mut self, now: Timestamp, mut chain: Chain, classes: &impl Classes) -> Vec<Do> {
-        let few = chain.steps.len() <= STEPS;
+    pub fn begin(&mut self, now: Timestamp, mut chain: Chain, classes: &impl Classes) -> Vec<Action> {
+        let few = chain.steps.len() <= MAX_STEPS;
         let wanted = chain.steps.last().filter(|_| few).and_then(|step| classes.class(&step.class));
         let Some((latency_objective, _)) = wanted else {
             let answer = Answer { verdict: Verdict::Failed, expired: false };
-            return vec![Do::Finish(chain.owner, End::at(0, answer))];
+            return vec![Action::Finish(chain.owner, End::at(0, answer))];
         };
         let twin = |open: &&Open| chain.key.is_some() && open.chain.key == chain.key;
         if let Some(twin) = self.open.values().find(twin) {
@@ -157,7 +157,7 @@
             let verdict =
                 if same { Verdict::Refused { cooldown: classes.cooldown() } } else { Verdict::Failed };
             let answer = Answer { verdict, expired: false };
-            return vec![Do::Finish(chain.owner, End::at(0, answer))];
+            return vec![Action::Finish(chain.owner, End::at(0, answer))];
         }
         if !self.until_given_up {
             chain.deadline = chain.deadline.min(now + latency_objective);
@@ -175,18 +175,18 @@
         owner: Owner,
         answer: Answer,
         classes: &impl Classes,
-    ) -> Vec<Do> {
-        let id = owner.stream / STEPS as u64;
+    ) -> Vec<Action> {
+        let id = owner.stream / MAX_STEPS as u64;
         let Some(open) = self.open.get_mut(&id).filter(|open| owner == name(id, open.step)) else {
             return vec![];
         };
         let Verdict::Served(body) = answer.verdict else {
             let (step, owner) = (open.step, open.chain.owner);
             self.open.remove(&id);
-            return vec![Do::Finish(owner, End::at(step, answer))];
+            return vec![Action::Finish(owner, End::at(step, answer))];
         };
         let step = &open.chain.steps[open.step];
-        self.estimates.note(now, step.function, &step.class, now - open.started);
+        self.estimates.record_latency(now, step.function, &step.class, now - open.started);
         let window = classes.class(&step.class).and_then(|(_, window)| window);
         let (started, step) = (open.started, step.clone());
         let key = step_key(&open.chain, open.step);
@@ -202,17 +202,17 @@
     }
 
     /// Nobody waits for this chain any more.
-    pub fn withdraw(&mut self, owner: Owner) -> Vec<Do> {
+    pub fn withdraw(&mut self, owner: Owner) -> Vec<Action> {
         let Some(id) = self.open.iter().find(|(_, open)| open.chain.owner == owner).map(|(id, _)| *id) else {
             return vec![];
         };
         let step = self.open.remove(&id).map_or(0, |open| open.step);
-        vec![Do::Withdraw(name(id, step))]
+        vec![Action::Withdraw(name(id, step))]
     }
 
     /// Who waits for the chain of which this is a step.
     pub fn owner(&self, step: Owner) -> Option<Owner> {
-        self.open.get(&(step.stream / STEPS as u64)).map(|open| open.chain.owner)
+        self.open.get(&(step.stream / MAX_STEPS as u64)).map(|open| open.chain.owner)
     }
 
     /// A step of this key may have run since then: its attempt went out, and had no answer that says otherwise.
@@ -229,8 +229,8 @@
     }
 
     /// A request that belongs to no chain was answered after so long.
-    pub fn note(&mut self, now: Timestamp, function: FunctionId, class: &str, took: Duration) {
-        self.estimates.note(now, function, class, took);
+    pub fn record_latency(&mut self, now: Timestamp, function: FunctionId, class: &str, took: Duration) {
+        self.estimates.record_latency(now, function, class, took);
     }
 
     /// Chains that are owed an answer.
@@ -239,7 +239,7 @@
     }
 
     /// Starts the next step, or ends the chain.
-    fn go_on(&mut self, now: Timestamp, id: u64, classes: &impl Classes) -> Vec<Do> {
+    fn go_on(&mut self, now: Timestamp, id: u64, classes: &impl Classes) -> Vec<Action> {
         loop {
             let Some(open) = self.open.get_mut(&id) else { return vec![] };
             let (chain, at) = (&open.chain, open.step);
@@ -247,7 +247,7 @@
                 let (owner, body) = (chain.owner, std::mem::take(&mut open.last));
                 self.open.remove(&id);
                 let answer = Answer { verdict: Verdict::Served(body), expired: false };
-                return vec![Do::Finish(owner, End { ran: at, ..End::at(at - 1, answer) })];
+                return vec![Action::Finish(owner, End { ran: at, ..End::at(at - 1, answer) })];
             };
             let key = step_key(chain, at);
             let kept = self
@@ -263,18 +263,18 @@
             let first = key.as_ref().and_then(|key| self.out.get(key)).copied();
             let until = first.and_then(|first| Some(first + window? - DEDUP_WINDOW_MARGIN));
             let needs = needs(&self.estimates, now, &chain.steps[at..], classes);
-            let cold: Vec<Do> = chain.steps[at..]
+            let cold: Vec<Action> = chain.steps[at..]
                 .iter()
                 .zip(&needs)
                 .filter(|(_, need)| need.load.0 > 0)
-                .map(|(step, _)| Do::Want(step.function, step.memory_mb))
+                .map(|(step, _)| Action::Prewarm(step.function, step.memory_mb))
                 .collect();
             if until.is_some_and(|until| until <= now + along(&needs[..1])) {
                 let owner = chain.owner;
                 self.open.remove(&id);
                 let answer = Answer { verdict: Verdict::Failed, expired: false };
                 let end = End { unknown: true, ..End::at(at, answer) };
-                return vec![Do::Finish(owner, end)];
+                return vec![Action::Finish(owner, end)];
             }
             let (left, need) = (chain.deadline - now, along(&needs));
             if left < need {
@@ -285,14 +285,14 @@
                 let answer = Answer { verdict, expired: left.0 == 0 };
                 let end = End { short: Some(Short { left, need }), ..End::at(at, answer) };
                 // By the time it comes back instances may stand: else a chain that is cold would be so for ever.
-                return std::iter::once(Do::Finish(owner, end)).chain(cold).collect();
+                return std::iter::once(Action::Finish(owner, end)).chain(cold).collect();
             }
             let deadline = until.map_or(chain.deadline, |until| until.min(chain.deadline));
             let request = step_request(self.salt, id, open, key, deadline);
             open.started = now;
             // What later steps lack is loaded while this one runs; its own call loads for itself.
             let own = usize::from(needs[0].load.0 > 0);
-            return std::iter::once(Do::Start(request)).chain(cold.into_iter().skip(own)).collect();
+            return std::iter::once(Action::Start(request)).chain(cold.into_iter().skip(own)).collect();
         }
     }
 
@@ -318,15 +318,15 @@
         let latency_objective =
             classes.class(&step.class).map_or(Duration(0), |(latency_objective, _)| latency_objective);
         let (function, load_time) = (step.function, step.load_time);
-        let ahead = Ahead { function, class: &step.class, latency_objective, load_time };
-        estimates.need(now, &ahead, classes.keep())
+        let ahead = PlannedStep { function, class: &step.class, latency_objective, load_time };
+        estimates.need(now, &ahead, classes.keep_alive())
     };
     steps.iter().map(need).collect()
 }
 
 /// A step's place among the core's requests.
 fn name(id: u64, step: usize) -> Owner {
-    Owner { connection: STEP, stream: id * STEPS as u64 + step as u64 }
+    Owner { connection: STEP_CONNECTION, stream: id * MAX_STEPS as u64 + step as u64 }
 }
 
 /// The request that the present step of an open chain becomes.
--- a/src/chain/tests.rs
+++ b/src/chain/tests.rs
@@ -14,7 +14,7 @@
             _ => None,
         }
     }
-    fn keep(&self) -> Duration {
+    fn keep_alive(&self) -> Duration {
         Duration::millis(9_000)
     }
     fn cooldown(&self) -> Duration {
@@ -41,23 +41,29 @@
     Answer { verdict: Verdict::Served(body.to_vec()), expired: false }
 }
 
-fn started(all: &[Do]) -> &IncomingRequest {
+fn started(all: &[Action]) -> &IncomingRequest {
     match all {
-        [Do::Start(incoming), wants @ ..] if wants.iter().all(|d| matches!(d, Do::Want(..))) => incoming,
+        [Action::Start(incoming), wants @ ..] if wants.iter().all(|d| matches!(d, Action::Prewarm(..))) => {
+            incoming
+        }
         other => panic!("{other:?}"),
     }
 }
 
-fn ended(all: &[Do]) -> &End {
+fn ended(all: &[Action]) -> &End {
     match all {
-        [Do::Finish(OWNER, end), wants @ ..] if wants.iter().all(|d| matches!(d, Do::Want(..))) => end,
+        [Action::Finish(OWNER, end), wants @ ..]
+            if wants.iter().all(|d| matches!(d, Action::Prewarm(..))) =>
+        {
+            end
+        }
         other => panic!("{other:?}"),
     }
 }
 
 /// Learns that a function takes so long, where a instance stands.
 fn learn(machine: &mut Machine, class: &str, function: u64, ms: u64) {
-    machine.estimates.note(NOW, FunctionId(function), class, Duration::millis(ms));
+    machine.estimates.record_latency(NOW, FunctionId(function), class, Duration::millis(ms));
 }
 
 #[test]
@@ -93,8 +99,11 @@
         let steps =
             vec![step("check", 1, 0, Some(b"")), step("check", 2, load, None), step("credit", 3, 0, None)];
         let all = machine.begin(NOW, chain(steps), &Site);
-        assert_eq!(matches!(all[0], Do::Start(_)), covered, "{load}");
-        assert!(matches!(all[1..], [Do::Want(FunctionId(2), _)]), "ordered ahead, or for the next try");
+        assert_eq!(matches!(all[0], Action::Start(_)), covered, "{load}");
+        assert!(
+            matches!(all[1..], [Action::Prewarm(FunctionId(2), _)]),
+            "ordered ahead, or for the next try"
+        );
         if !covered {
             let end = ended(&all);
             assert_eq!((end.step, end.ran, end.short.is_some()), (0, 0, true));
@@ -223,9 +232,9 @@
                     if let Some(owner) = owed.keys().nth(pick).copied() {
                         owed.remove(&owner);
                         let off = machine.withdraw(owner);
-                        prop_assert!(matches!(off[..], [Do::Withdraw(_)]));
+                        prop_assert!(matches!(off[..], [Action::Withdraw(_)]));
                         for what in off {
-                            let Do::Withdraw(step) = what else { continue };
+                            let Action::Withdraw(step) = what else { continue };
                             let Some(at) = running.iter().position(|r| r.owner == step) else { continue };
                             let key = running.swap_remove(at).key.unwrap();
                             if let Some(first) = first_out.get(&key) {
@@ -238,7 +247,7 @@
             }
             for what in all {
                 match what {
-                    Do::Start(step) => {
+                    Action::Start(step) => {
                         let open = machine.open.values().find(|open| name_of(&machine, open) == step.owner);
                         let open = open.expect("of an open chain");
                         let (owner, at) = (open.chain.owner, open.step);
@@ -253,13 +262,13 @@
                         }
                         running.push(step);
                     }
-                    Do::Finish(owner, end) => {
+                    Action::Finish(owner, end) => {
                         let (steps, _) = owed.remove(&owner).expect("one end each");
                         let all = matches!(end.answer.verdict, Verdict::Served(_));
                         prop_assert_eq!(all, end.ran == steps.len());
                     }
-                    Do::Want(..) => {}
-                    Do::Withdraw(_) => prop_assert!(false, "nobody has left"),
+                    Action::Prewarm(..) => {}
+                    Action::Withdraw(_) => prop_assert!(false, "nobody has left"),
                 }
             }
             prop_assert_eq!((machine.outstanding(), running.len()), (owed.len(), owed.len()));
@@ -277,7 +286,7 @@
     let mut machine = Machine::default();
     let all = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b""))]), &Site);
     let owner = started(&all).owner;
-    assert!(matches!(machine.withdraw(OWNER)[..], [Do::Withdraw(step)] if step == owner));
+    assert!(matches!(machine.withdraw(OWNER)[..], [Action::Withdraw(step)] if step == owner));
     assert!(
         machine.withdraw(OWNER).is_empty() && machine.step_ended(NOW, owner, served(b""), &Site).is_empty()
     );
@@ -288,7 +297,7 @@
     let other = machine.begin(NOW, chain(vec![step("check", 2, 0, Some(b""))]), &Site);
     assert_eq!(ended(&other).answer.verdict, Verdict::Failed);
     assert_eq!(machine.step_ended(NOW, started(&open).owner, served(b""), &Site).len(), 1);
-    let many = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b"")); STEPS + 1]), &Site);
+    let many = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b"")); MAX_STEPS + 1]), &Site);
     assert_eq!(ended(&many).answer.verdict, Verdict::Failed, "its steps would be taken for another's");
     let unknown = machine.begin(NOW, chain(vec![step("none", 1, 0, Some(b""))]), &Site);
     assert_eq!(ended(&unknown).answer.verdict, Verdict::Failed);
--- a/src/config/distribution/tests.rs
+++ b/src/config/distribution/tests.rs
@@ -28,7 +28,7 @@
 fn load(text: &str, site: &str) -> Result<(), String> {
     let operator = read_operator(text).map_err(|error| error.to_string())?;
     let site = crate::settings::read_site(site.as_bytes()).expect("a site");
-    operator.fits(&site).map_err(|error| error.to_string())
+    operator.check_site(&site).map_err(|error| error.to_string())
 }
 
 #[test]
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -16,7 +16,7 @@
     let operator = read_operator(text).map_err(|error| error.to_string())?;
     assert!(operator.fleet.is_some(), "there is one");
     let site = crate::settings::read_site(site.as_bytes()).expect("a site");
-    operator.fits(&site).map_err(|error| error.to_string())
+    operator.check_site(&site).map_err(|error| error.to_string())
 }
 
 #[test]
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -75,7 +75,7 @@
 
 impl Vrrp {
     fn check(&self) -> Result<(), OperatorError> {
-        let interval_allowed = (1..=crate::vrrp::packet::INTERVAL).contains(&self.interval_cs);
+        let interval_allowed = (1..=crate::vrrp::packet::MAX_INTERVAL_CS).contains(&self.interval_cs);
         if self.vrid == 0 || self.priority == 0 || !interval_allowed {
             return Err(OperatorError::VrrpBounds);
         }
@@ -186,7 +186,7 @@
     ///
     /// # Errors
     /// A class, zone or fleet of the file does not fit the site.
-    pub fn fits(&self, site: &Site) -> Result<(), OperatorError> {
+    pub fn check_site(&self, site: &Site) -> Result<(), OperatorError> {
         if let Some(fleet) = &self.fleet {
             fleet.check(site)?;
         }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -4,7 +4,7 @@
 use super::names::{default_weight, index_of, read_worker};
 use crate::discovery::{Entry, WatchEvent, started_at};
 use crate::interface::*;
-use crate::settings::{Site, site_of};
+use crate::settings::{Site, read_site_value};
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use std::borrow::Cow;
@@ -88,7 +88,7 @@
     }
 
     /// The same without what may be long.
-    pub fn without_list(&self) -> Config {
+    pub fn without_events(&self) -> Config {
         Config {
             name: self.name.clone(),
             known_events: Vec::new(),
@@ -115,7 +115,7 @@
                 None => list.push(class.clone()),
             }
         }
-        self.site = site_of(&self.whole["settings"])?;
+        self.site = read_site_value(&self.whole["settings"])?;
         Ok(self)
     }
 }
@@ -201,7 +201,7 @@
     let whole = Value::Object(file.rest);
     let text = PlatformFile::deserialize(&whole).map_err(ConfigError::Malformed)?;
     let settings = whole.get("settings").ok_or(ConfigError::MissingSettings)?;
-    let site = site_of(settings)?;
+    let site = read_site_value(settings)?;
     let mut known_events = Vec::new();
     for event in file.known.batch {
         let mut entries = event.topology.workers.iter().map(|record| read_worker_record(record, &site));
--- a/src/config/sources.rs
+++ b/src/config/sources.rs
@@ -17,7 +17,7 @@
     /// new process share.
     pub mgmt: Option<SocketAddr>,
     /// The descriptor of the clients' listener, where the platform holds it.
-    pub passed: Option<i32>,
+    pub passed_listener: Option<i32>,
 }
 
 impl Sources {
@@ -25,11 +25,11 @@
     ///
     /// # Errors
     /// `GW_CONFIG` is absent, or another variable cannot be read.
-    pub fn of_environment(operator: Option<PathBuf>) -> Result<Sources, ConfigError> {
+    pub fn from_env(operator: Option<PathBuf>) -> Result<Sources, ConfigError> {
         let config = std::env::var_os("GW_CONFIG").ok_or(ConfigError::MissingEnvironment)?.into();
         let mgmt = from_environment("GW_MGMT", "address")?;
-        let passed = from_environment("GW_PASSED_SOCKET", "number")?;
-        Ok(Sources { config, operator, mgmt, passed })
+        let passed_listener = from_environment("GW_PASSED_SOCKET", "number")?;
+        Ok(Sources { config, operator, mgmt, passed_listener })
     }
 
     /// Reads the operator's file.
@@ -60,9 +60,9 @@
         let text = std::fs::read(&self.config)
             .map_err(|source| ConfigError::unreadable(SourceFile::Platform, &self.config, source))?;
         let config = read_after(&text, offset)?;
-        operator.fits(&config.site)?;
+        operator.check_site(&config.site)?;
         // Only a process that takes over is in need of it.
-        let text = if self.passed.is_some() { text } else { Vec::new() };
+        let text = if self.passed_listener.is_some() { text } else { Vec::new() };
         Ok((Config { mgmt: self.mgmt.or(config.mgmt), text, ..config }, operator))
     }
 }
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -148,7 +148,7 @@
             Verdict::Failed => self.counters.failed += 1,
         }
         let answer = Answer { verdict, expired };
-        if owner.connection == chain::STEP {
+        if owner.connection == chain::STEP_CONNECTION {
             self.chain_steps.answers.push_back(StepAnswer { owner, answer });
         } else {
             self.commands.push_back(Command::Answer { owner, answer });
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -103,7 +103,7 @@
         if incoming.deadline <= now {
             return Some(RejectReason::Late);
         }
-        if self.rejecting_new && incoming.owner.connection != chain::STEP {
+        if self.rejecting_new && incoming.owner.connection != chain::STEP_CONNECTION {
             return Some(RejectReason::Ending);
         }
         let full = self.requests.len() >= self.site.max_open
--- a/src/core/chain_steps.rs
+++ b/src/core/chain_steps.rs
@@ -42,7 +42,7 @@
     }
 
     /// Carries out the chains' actions until no step's answer is left to process.
-    pub(super) fn run_chains(&mut self, now: Timestamp, actions: Vec<chain::Do>) {
+    pub(super) fn run_chains(&mut self, now: Timestamp, actions: Vec<chain::Action>) {
         let mut actions = VecDeque::from(actions);
         let nested = std::mem::replace(&mut self.chain_steps.running, true);
         loop {
@@ -63,16 +63,16 @@
         self.chain_steps.running = nested;
     }
 
-    fn carry_out_chain(&mut self, now: Timestamp, action: chain::Do) {
+    fn carry_out_chain(&mut self, now: Timestamp, action: chain::Action) {
         match action {
-            chain::Do::Start(incoming) => self.submit(now, incoming),
-            chain::Do::Withdraw(step) => self.withdraw(now, step),
-            chain::Do::Want(function, memory_mb) => {
+            chain::Action::Start(incoming) => self.submit(now, incoming),
+            chain::Action::Withdraw(step) => self.withdraw(now, step),
+            chain::Action::Prewarm(function, memory_mb) => {
                 // A client has named the function; the policy and the rate limit decide whether a load request is sent.
                 self.loads.called.record(now, function);
                 self.process_event(now, Event::Wanted(function, memory_mb));
             }
-            chain::Do::Finish(owner, end) => {
+            chain::Action::Finish(owner, end) => {
                 match (&end.answer.verdict, end.short) {
                     (Verdict::Served(_), _) => self.counters.chains_served += 1,
                     (_, Some(_)) => self.counters.chains_stopped += 1,
@@ -85,7 +85,8 @@
 
     /// Records in its chain that a step which ended unserved may have run, if it may have.
     pub(super) fn record_unserved_step(&mut self, now: Timestamp, accepted: Option<&AcceptedRequest>) {
-        let Some(accepted) = accepted.filter(|accepted| accepted.owner.connection == chain::STEP) else {
+        let Some(accepted) = accepted.filter(|accepted| accepted.owner.connection == chain::STEP_CONNECTION)
+        else {
             return;
         };
         if let (Effect::Keyed { .. }, Some(key), Some(first)) =
@@ -106,7 +107,7 @@
         Some((class.latency_objective, window))
     }
 
-    fn keep(&self) -> Duration {
+    fn keep_alive(&self) -> Duration {
         self.settings.loading.keep_alive
     }
 
--- a/src/core/outcomes.rs
+++ b/src/core/outcomes.rs
@@ -53,11 +53,16 @@
     fn serve(&mut self, now: Timestamp, id: AttemptId, body: Vec<u8>) {
         let Some(accepted) = self.remove_request(id.request) else { return };
         self.count_served(now);
-        if accepted.owner.connection != chain::STEP
+        if accepted.owner.connection != chain::STEP_CONNECTION
             && let Some(attempt) = self.attempts.get(&id)
         {
             let latency = now - attempt.decided_at;
-            self.chain_steps.machine.note(now, accepted.work.function, &accepted.work.class, latency);
+            self.chain_steps.machine.record_latency(
+                now,
+                accepted.work.function,
+                &accepted.work.class,
+                latency,
+            );
         }
         self.answer(accepted.owner, Some(&accepted.work.class), Verdict::Served(body), false);
     }
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -49,7 +49,7 @@
         let max_cooldown = self.default_cooldown();
         let overload = self.overload.as_mut()?;
         let rank = overload.ranks.get(class).copied().unwrap_or_default();
-        let admitted = owner.connection == chain::STEP || overload.gate.admits(now, rank);
+        let admitted = owner.connection == chain::STEP_CONNECTION || overload.gate.admits(now, rank);
         overload.meter.record_arrival(now, rank);
         self.counters.shed += u64::from(!admitted);
         (!admitted).then(|| overload.gate.cooldown(max_cooldown))
--- a/src/core/write_checks.rs
+++ b/src/core/write_checks.rs
@@ -8,7 +8,11 @@
     /// The client that waits for an attempt's result: the owner of its request or of its chain.
     pub fn owner(&self, id: AttemptId) -> Option<Owner> {
         let owner = self.requests.get(id.request)?.owner;
-        if owner.connection == chain::STEP { self.chain_steps.machine.owner(owner) } else { Some(owner) }
+        if owner.connection == chain::STEP_CONNECTION {
+            self.chain_steps.machine.owner(owner)
+        } else {
+            Some(owner)
+        }
     }
 
     /// Whether an attempt may still be written. While it was queued for its connection, its request may have ended, its
--- a/src/daemon/accept.rs
+++ b/src/daemon/accept.rs
@@ -165,7 +165,7 @@
             stream,
             connection,
             true,
-            ops::LIMITS,
+            ops::OPERATOR_BUFFER_LIMITS,
             &mut self.core,
         ));
     }
--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -381,9 +381,9 @@
                 }
             }
         }
-        let without_list = file.without_list();
+        let without_events = file.without_events();
         let used = distribution.classes.borrow().with_distributed(file)?;
-        Ok((Some(without_list), used))
+        Ok((Some(without_events), used))
     }
 
     /// Notes that the configuration in use was replaced. `file` is that of its file, without the list.
--- a/src/daemon/distribution/classes.rs
+++ b/src/daemon/distribution/classes.rs
@@ -21,7 +21,7 @@
 impl Classes {
     /// The classes of a process that has received nothing.
     pub(super) fn new(config: &Config) -> Classes {
-        Classes { file: config.without_list(), distributed: ByName::new(), awaiting_snapshot: true }
+        Classes { file: config.without_events(), distributed: ByName::new(), awaiting_snapshot: true }
     }
 
     /// Notes that this process joins the domain, so that the next changes are a complete state.
--- a/src/daemon/fleet.rs
+++ b/src/daemon/fleet.rs
@@ -63,7 +63,7 @@
             seed: process.incarnation,
             lease: LeaseConfig::new(electors, term, longest, setting.drift_ppm),
             parts: setting.parts,
-            shed_latency_objective: setting.shed.then(|| config.site.soonest()),
+            shed_latency_objective: setting.shed.then(|| config.site.shortest_latency_objective()),
             publishes,
             // Fences grow by far less than one per millisecond. Nothing else here depends on the time of day.
             fence_floor: now.0 / 1_000_000,
--- a/src/daemon/router.rs
+++ b/src/daemon/router.rs
@@ -4,7 +4,7 @@
 use crate::config;
 use crate::interface::{Duration, Timestamp};
 use crate::net::{MAX_DATAGRAMS_PER_TURN, Reactor};
-use crate::vrrp::packet::{Advertisement, LARGEST};
+use crate::vrrp::packet::{Advertisement, MAX_ADVERTISEMENT_BYTES};
 use crate::vrrp::{self, Event};
 use std::io;
 use tracing::{info, warn};
@@ -20,11 +20,11 @@
     /// Binds the router's socket.
     pub(super) fn new(setting: &config::Vrrp, reactor: &mut Reactor) -> io::Result<Router> {
         let (socket, own) = reactor.bind_datagram_socket(setting.bind)?;
-        let machine = vrrp::Machine::new(vrrp::Setting {
+        let machine = vrrp::Machine::new(vrrp::RouterConfig {
             priority: setting.priority,
             interval: Duration::millis(u64::from(setting.interval_cs) * 10),
             preempt: setting.preempt,
-            own,
+            own_address: own,
         });
         Ok(Router { machine, setting: setting.clone(), socket })
     }
@@ -60,7 +60,7 @@
 
     /// Receives pending advertisements.
     pub(super) fn receive_vrrp_datagrams(&mut self, socket: usize) {
-        let mut bytes = [0; LARGEST + 1];
+        let mut bytes = [0; MAX_ADVERTISEMENT_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some((size, from)) = self.reactor.receive_datagram(socket, &mut bytes) else { return };
             let Some(router) = &self.router else { return };
@@ -71,7 +71,7 @@
             };
             match read {
                 Ok(message) if message.vrid == router.setting.vrid => {
-                    let (priority, interval) = (message.priority, message.span());
+                    let (priority, interval) = (message.priority, message.interval_duration());
                     self.handle_vrrp(Event::Advertisement { priority, interval, from });
                 }
                 Ok(_) => self.core.counters().vrrp_dropped += 1,
--- a/src/front/jsonrpc/codec.rs
+++ b/src/front/jsonrpc/codec.rs
@@ -1,7 +1,7 @@
 //! The codec of the JSON-RPC front: decodes lines and encodes responses, without state.
 
 use super::super::{MAX_BODY_BYTES, read_function};
-use crate::chain::{End, STEPS, Step};
+use crate::chain::{End, MAX_STEPS, Step};
 use crate::core::{Answer, Verdict};
 use crate::interface::{Duration, FunctionId};
 use base64::Engine;
@@ -199,8 +199,8 @@
 
 fn read_chain(params: &Map<String, Value>) -> Result<ChainParams, String> {
     let Some(list) = params.get("steps").and_then(Value::as_array) else { return Err("no steps".to_owned()) };
-    if !(1..=STEPS).contains(&list.len()) {
-        return Err(format!("steps are not 1 to {STEPS}"));
+    if !(1..=MAX_STEPS).contains(&list.len()) {
+        return Err(format!("steps are not 1 to {MAX_STEPS}"));
     }
     let mut steps = Vec::with_capacity(list.len());
     for (n, step) in list.iter().enumerate() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -67,7 +67,7 @@
     };
     log::start(form, arguments.trace);
     let done = match arguments.command {
-        None => Sources::of_environment(arguments.operator).map_err(String::from).and_then(daemon::start),
+        None => Sources::from_env(arguments.operator).map_err(String::from).and_then(daemon::start),
         Some(Command::Check) => check(arguments.operator),
         Some(Command::Fleet { command: FleetCommand::Status { at } }) => query(at, "/api/fleet"),
     };
@@ -82,7 +82,7 @@
 
 /// Reads both files and prints a summary.
 fn check(operator: Option<PathBuf>) -> Result<(), String> {
-    let (config, operator) = Sources::of_environment(operator)?.read()?;
+    let (config, operator) = Sources::from_env(operator)?.read()?;
     println!("configuration: good, {} classes", config.site.settings.classes.len());
     if let Some(fleet) = operator.fleet {
         println!("fleet {}: {} electors, term {} ms", fleet.name, fleet.electors.len(), fleet.term_ms);
--- a/src/ops/http.rs
+++ b/src/ops/http.rs
@@ -4,13 +4,13 @@
 use crate::interface::WorkerId;
 
 /// Longest head of a call.
-pub const HEAD: usize = 8 << 10;
+pub const MAX_HEAD_BYTES: usize = 8 << 10;
 /// Most header lines of a call.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// What an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum OperatorRequest {
     /// Whether this process is ready to serve.
     Ready,
     /// The figures.
@@ -31,19 +31,19 @@
 ///
 /// # Errors
 /// [`HttpError`] holds the status and the line to answer with.
-pub fn read(bytes: &[u8]) -> Result<Option<Call>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+pub fn read(bytes: &[u8]) -> Result<Option<OperatorRequest>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let size = match request.parse(bytes) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) if bytes.len() < HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
             return Err(HttpError(431, "the head is too long"));
         }
         Err(httparse::Error::Version) => return Err(HttpError(505, "HTTP/1.1 is spoken here")),
         Err(_) => return Err(HttpError(400, "this is no HTTP call")),
     };
-    if size > HEAD {
+    if size > MAX_HEAD_BYTES {
         return Err(HttpError(431, "the head is too long"));
     }
     let body = request.headers.iter().any(|header| {
@@ -59,14 +59,14 @@
     route(request.method.unwrap_or(""), request.path.unwrap_or("")).map(Some)
 }
 
-fn route(method: &str, target: &str) -> Result<Call, HttpError> {
+fn route(method: &str, target: &str) -> Result<OperatorRequest, HttpError> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     match (method, path) {
-        ("GET", "/api/ready") => Ok(Call::Ready),
-        ("GET", "/api/telemetry") => Ok(Call::Figures),
-        ("GET", "/api/fleet") => Ok(Call::Fleet),
-        ("POST", "/api/exclude") => read_name(query).map(Call::Exclude),
-        ("POST", "/api/include") => read_name(query).map(Call::Include),
+        ("GET", "/api/ready") => Ok(OperatorRequest::Ready),
+        ("GET", "/api/telemetry") => Ok(OperatorRequest::Figures),
+        ("GET", "/api/fleet") => Ok(OperatorRequest::Fleet),
+        ("POST", "/api/exclude") => read_name(query).map(OperatorRequest::Exclude),
+        ("POST", "/api/include") => read_name(query).map(OperatorRequest::Include),
         (_, "/api/ready" | "/api/telemetry" | "/api/fleet") => Err(HttpError(405, "GET is meant")),
         (_, "/api/exclude" | "/api/include") => Err(HttpError(405, "POST is meant")),
         _ => Err(HttpError(404, "no such path")),
--- a/src/ops/http/tests.rs
+++ b/src/ops/http/tests.rs
@@ -10,13 +10,13 @@
 #[test]
 fn calls_are_read() {
     let cases = [
-        ("GET /api/ready", Ok(Call::Ready)),
-        ("GET /api/telemetry", Ok(Call::Figures)),
-        ("GET /api/telemetry?x=1", Ok(Call::Figures)),
-        ("GET /api/fleet", Ok(Call::Fleet)),
+        ("GET /api/ready", Ok(OperatorRequest::Ready)),
+        ("GET /api/telemetry", Ok(OperatorRequest::Figures)),
+        ("GET /api/telemetry?x=1", Ok(OperatorRequest::Figures)),
+        ("GET /api/fleet", Ok(OperatorRequest::Fleet)),
         ("POST /api/fleet", Err(405)),
-        ("POST /api/exclude?name=s-00c41f7a", Ok(Call::Exclude(BOX))),
-        ("POST /api/include?name=s-00c41f7a", Ok(Call::Include(BOX))),
+        ("POST /api/exclude?name=s-00c41f7a", Ok(OperatorRequest::Exclude(BOX))),
+        ("POST /api/include?name=s-00c41f7a", Ok(OperatorRequest::Include(BOX))),
         ("POST /api/ready", Err(405)),
         ("GET /api/exclude?name=s-00c41f7a", Err(405)),
         ("GET /api/else", Err(404)),
@@ -45,8 +45,8 @@
         (post("Transfer-Encoding: chunked\r\n\r\n"), 400),
         ([head("GET /api/ready"), head("GET /api/ready")].concat(), 400),
         (post(&"X: y\r\n".repeat(100)), 431),
-        (post(&format!("X: {}", "y".repeat(HEAD))), 431),
-        (post(&format!("X: {}\r\n\r\n", "y".repeat(HEAD))), 431),
+        (post(&format!("X: {}", "y".repeat(MAX_HEAD_BYTES))), 431),
+        (post(&format!("X: {}\r\n\r\n", "y".repeat(MAX_HEAD_BYTES))), 431),
         (b"GET /api/ready HTTP/2.0\r\n\r\n".to_vec(), 505),
         (b"\x16\x03\x01\x02\x00\x01".to_vec(), 400),
     ];
@@ -55,7 +55,7 @@
         assert_eq!(read(&bytes).map_err(|no| no.0), Err(status), "{text}");
     }
     let whole = post("Content-Length: 0\r\n\r\n");
-    assert_eq!(read(&whole), Ok(Some(Call::Exclude(BOX))));
+    assert_eq!(read(&whole), Ok(Some(OperatorRequest::Exclude(BOX))));
     for cut in 0..whole.len() {
         assert_eq!(read(&whole[..cut]), Ok(None), "{cut}");
     }
@@ -79,7 +79,7 @@
         if let Ok(Some(call)) = read(&bytes) {
             let text = String::from_utf8_lossy(&bytes).into_owned();
             let named = match call {
-                Call::Exclude(WorkerId(id)) | Call::Include(WorkerId(id)) => id,
+                OperatorRequest::Exclude(WorkerId(id)) | OperatorRequest::Include(WorkerId(id)) => id,
                 _ => u64::MAX,
             };
             prop_assert!(text.to_lowercase().contains(&format!("name=s-{named:08x} ")), "{text}");
--- a/src/ops/mgmt.rs
+++ b/src/ops/mgmt.rs
@@ -1,6 +1,6 @@
 //! An operator's connection at the second address.
 
-use super::http::{self, Call, HEAD, HttpError};
+use super::http::{self, HttpError, MAX_HEAD_BYTES, OperatorRequest};
 use crate::core::cordons::CordonResult;
 use crate::interface::{Duration, Timestamp};
 use crate::net::{BufferLimits, Connection, Context, ControlFlow, Link};
@@ -8,9 +8,9 @@
 /// Operators at a time; they live on descriptors that are reserved beside clients' and workers'.
 pub const OPERATOR_CONNECTIONS: usize = 12;
 /// Buffers of an operator's connection: a head, and an answer that waits.
-pub const LIMITS: BufferLimits = BufferLimits { input: HEAD + 1, output: 64 << 10 };
+pub const OPERATOR_BUFFER_LIMITS: BufferLimits = BufferLimits { input: MAX_HEAD_BYTES + 1, output: 64 << 10 };
 /// A call must have come whole within this time, and its answer must be read within as long again.
-const WHOLE: Duration = Duration::millis(2_000);
+const REQUEST_TIMEOUT: Duration = Duration::millis(2_000);
 
 /// One call, then the end.
 pub struct MgmtConnection {
@@ -24,20 +24,20 @@
         MgmtConnection { arrived_at: now, answered: None }
     }
 
-    fn carry_out(call: Call, context: &mut Context) -> Result<String, HttpError> {
+    fn carry_out(call: OperatorRequest, context: &mut Context) -> Result<String, HttpError> {
         let done = match call {
-            Call::Ready if context.ready && context.accepting && context.core.places() => {
+            OperatorRequest::Ready if context.ready && context.accepting && context.core.places() => {
                 return Ok("ready\n".to_owned());
             }
-            Call::Ready => return Err(HttpError(503, "not ready")),
-            Call::Figures => {
+            OperatorRequest::Ready => return Err(HttpError(503, "not ready")),
+            OperatorRequest::Figures => {
                 let fleet = context.fleet.as_ref().map(|fleet| fleet.borrow().status(context.now));
                 let fleet = fleet.map(|status| status.figures()).unwrap_or_default();
                 let domain =
                     context.distribution.as_ref().map(|node| node.borrow().status(context.now).figures());
                 return Ok(context.core.figures().to_string() + &fleet + &domain.unwrap_or_default());
             }
-            Call::Fleet => {
+            OperatorRequest::Fleet => {
                 let fleet =
                     context.fleet.as_ref().map(|fleet| fleet.borrow().status(context.now).to_string());
                 let domain =
@@ -46,8 +46,8 @@
                 let known = Some(text).filter(|text| !text.is_empty());
                 return known.ok_or(HttpError(404, "this scheduler is in no fleet"));
             }
-            Call::Exclude(worker) => context.core.cordon(context.now, worker),
-            Call::Include(worker) => context.core.uncordon(context.now, worker),
+            OperatorRequest::Exclude(worker) => context.core.cordon(context.now, worker),
+            OperatorRequest::Include(worker) => context.core.uncordon(context.now, worker),
         };
         match done {
             CordonResult::Changed | CordonResult::Unchanged => Ok("done\n".to_owned()),
@@ -100,7 +100,7 @@
     }
 
     fn deadline(&self) -> Option<Timestamp> {
-        Some(self.answered.unwrap_or(self.arrived_at) + WHOLE)
+        Some(self.answered.unwrap_or(self.arrived_at) + REQUEST_TIMEOUT)
     }
 
     fn closed(&mut self, _link: &Link, _hub: &mut Context) {}
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -3,4 +3,4 @@
 pub mod http;
 mod mgmt;
 
-pub use mgmt::{LIMITS, MgmtConnection, OPERATOR_CONNECTIONS};
+pub use mgmt::{MgmtConnection, OPERATOR_BUFFER_LIMITS, OPERATOR_CONNECTIONS};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// [`SettingsError`] names what is missing or odd.
-pub fn site_of(settings: &serde_json::Value) -> Result<Site, SettingsError> {
+pub fn read_site_value(settings: &serde_json::Value) -> Result<Site, SettingsError> {
     site(SettingsText::deserialize(settings).map_err(SettingsError::Malformed)?)
 }
 
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -31,7 +31,7 @@
 
 impl Site {
     /// The shortest time within which answers of a class are wanted.
-    pub fn soonest(&self) -> Duration {
+    pub fn shortest_latency_objective(&self) -> Duration {
         self.settings
             .classes
             .iter()
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -22,7 +22,7 @@
 
 /// What a virtual router is set to.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub struct RouterConfig {
     /// 1 to 254; 255 is the owner of the address, always active while it runs.
     pub priority: u8,
     /// Time between advertisements of this one while it is active.
@@ -30,7 +30,7 @@
     /// Whether it takes over from an active one of lower priority.
     pub preempt: bool,
     /// Its own address: between equal priorities the higher address wins.
-    pub own: SocketAddr,
+    pub own_address: SocketAddr,
 }
 
 /// What happens to the machine.
@@ -63,7 +63,7 @@
 /// The state machine of one virtual router.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    setting: Setting,
+    config: RouterConfig,
     state: State,
     /// Adver_Timer while active, Active_Down_Timer while in backup.
     timer: Option<Timestamp>,
@@ -73,9 +73,9 @@
 
 impl Machine {
     /// A machine in Initialize.
-    pub fn new(setting: Setting) -> Machine {
-        let active_interval = setting.interval;
-        Machine { setting, state: State::Initialize, timer: None, active_interval }
+    pub fn new(config: RouterConfig) -> Machine {
+        let active_interval = config.interval;
+        Machine { config, state: State::Initialize, timer: None, active_interval }
     }
 
     /// Its state.
@@ -90,7 +90,7 @@
 
     /// Skew_Time: the higher the priority, the sooner a backup steps in.
     fn skew(&self) -> Duration {
-        Duration((256 - u64::from(self.setting.priority)) * self.active_interval.0 / 256)
+        Duration((256 - u64::from(self.config.priority)) * self.active_interval.0 / 256)
     }
 
     /// Active_Down_Interval: three advertisements missed, and the skew.
@@ -101,10 +101,10 @@
     /// Takes in what has happened; says whether an advertisement is to be sent.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Option<Advertise> {
         match (self.state, event) {
-            (State::Initialize, Event::Startup) => match self.setting.priority {
+            (State::Initialize, Event::Startup) => match self.config.priority {
                 255 => self.rise(now),
                 _ => {
-                    self.active_interval = self.setting.interval;
+                    self.active_interval = self.config.interval;
                     self.watch(now)
                 }
             },
@@ -118,13 +118,13 @@
             (State::Active, Event::Timer) if self.timer.is_some_and(|at| at <= now) => self.advertise(now),
             (_, Event::Timer | Event::Startup) => None,
             // The owner of the address heeds nobody.
-            (_, Event::Advertisement { .. }) if self.setting.priority == 255 => None,
+            (_, Event::Advertisement { .. }) if self.config.priority == 255 => None,
             (State::Backup, Event::Advertisement { priority: 0, .. }) => {
                 self.timer = Some(now + self.skew());
                 None
             }
             (State::Backup, Event::Advertisement { priority, interval, .. }) => {
-                if self.setting.preempt && priority < self.setting.priority {
+                if self.config.preempt && priority < self.config.priority {
                     return None;
                 }
                 self.active_interval = interval;
@@ -132,7 +132,7 @@
             }
             (State::Active, Event::Advertisement { priority: 0, .. }) => self.advertise(now),
             (State::Active, Event::Advertisement { priority, interval, from }) => {
-                if (priority, from) > (self.setting.priority, self.setting.own) {
+                if (priority, from) > (self.config.priority, self.config.own_address) {
                     self.active_interval = interval;
                     return self.watch(now);
                 }
@@ -148,8 +148,8 @@
     }
 
     fn advertise(&mut self, now: Timestamp) -> Option<Advertise> {
-        self.timer = Some(now + self.setting.interval);
-        Some(Advertise { priority: self.setting.priority })
+        self.timer = Some(now + self.config.interval);
+        Some(Advertise { priority: self.config.priority })
     }
 
     fn watch(&mut self, now: Timestamp) -> Option<Advertise> {
--- a/src/vrrp/packet.rs
+++ b/src/vrrp/packet.rs
@@ -4,9 +4,9 @@
 use std::net::Ipv4Addr;
 
 /// Largest datagram that can hold one: 255 addresses.
-pub const LARGEST: usize = 8 + 4 * 255;
+pub const MAX_ADVERTISEMENT_BYTES: usize = 8 + 4 * 255;
 /// Longest interval, in centiseconds: 12 bits.
-pub const INTERVAL: u16 = 0x0fff;
+pub const MAX_INTERVAL_CS: u16 = 0x0fff;
 
 /// An advertisement.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,13 +23,13 @@
 
 impl Advertisement {
     /// The interval as a span.
-    pub fn span(&self) -> Duration {
+    pub fn interval_duration(&self) -> Duration {
         Duration::millis(u64::from(self.interval) * 10)
     }
 
     /// The message as it is sent.
     pub fn write(&self) -> Vec<u8> {
-        let [high, low] = (self.interval & INTERVAL).to_be_bytes();
+        let [high, low] = (self.interval & MAX_INTERVAL_CS).to_be_bytes();
         let mut bytes = vec![0x31, self.vrid, self.priority, self.addresses.len() as u8, high, low, 0, 0];
         self.addresses.iter().for_each(|address| bytes.extend(address.octets()));
         let sum = checksum(&bytes).to_be_bytes();
@@ -59,7 +59,7 @@
         if checksum(bytes) != 0 {
             return Err("checksum");
         }
-        let interval = u16::from_be_bytes([head[4], head[5]]) & INTERVAL;
+        let interval = u16::from_be_bytes([head[4], head[5]]) & MAX_INTERVAL_CS;
         if head[1] == 0 || interval == 0 {
             return Err("a field is zero");
         }
--- a/src/vrrp/tests.rs
+++ b/src/vrrp/tests.rs
@@ -3,8 +3,8 @@
 const MS: fn(u64) -> Timestamp = |ms| Timestamp(ms * 1_000_000);
 
 fn machine(priority: u8, preempt: bool) -> Machine {
-    let own = "127.0.0.5:9112".parse().unwrap();
-    Machine::new(Setting { priority, interval: Duration::millis(1000), preempt, own })
+    let own_address = "127.0.0.5:9112".parse().unwrap();
+    Machine::new(RouterConfig { priority, interval: Duration::millis(1000), preempt, own_address })
 }
 
 fn heard(priority: u8, interval_ms: u64, last: u8) -> Event {
