--- a/lab/src/chains.rs
+++ b/lab/src/chains.rs
@@ -1,6 +1,6 @@
 //! Chains of a build check, a checker run and the record of credit, played three ways.
 
-use crate::fleet::{Job, KEEP, Worker};
+use crate::fleet::{COPY_KEEP_ALIVE, Job, Worker};
 use mintgate::chain::estimate::{Estimates, PlannedStep};
 use mintgate::chain::{Chain, Step};
 use mintgate::core::{Command, Core, IncomingRequest, LoadResult, Owner, Reply, Verdict};
@@ -152,21 +152,21 @@
                             latency_objective: WANTED,
                             load_time,
                         };
-                        let need = self.estimates.need(now, &ahead, KEEP);
+                        let need = self.estimates.need(now, &ahead, COPY_KEEP_ALIVE);
                         self.begun[chain] = (now, Duration(need.load.0 + need.run.0));
                     }
                     let plan = &self.plans[chain];
                     let job =
                         Job { attempt, function: work.function, work: plan.work[at], load: plan.load[at] };
-                    let runs = self.workers.entry(worker).or_default().take(now, job);
+                    let runs = self.workers.entry(worker).or_default().accept(now, job);
                     runs.into_iter().for_each(|(end, job)| self.ends_at(end, worker, job));
                     self.credits[chain] += u32::from(at == 2);
                 }
-                Command::Cancel { attempt, worker } => self.workers.entry(worker).or_default().halt(attempt),
+                Command::Cancel { attempt, worker } => self.workers.entry(worker).or_default().abort(attempt),
                 Command::Load { load, worker, function, .. } => {
                     if self.core.may_write_load(now, load) {
                         let load_time = Duration::millis(500);
-                        self.workers.entry(worker).or_default().stage(now, function, load_time);
+                        self.workers.entry(worker).or_default().load(now, function, load_time);
                         let standing = LoadResult { status: Status::Ok, instances: 1 };
                         self.core.load_ended(now, load, Ok(standing));
                     } else {
@@ -242,7 +242,7 @@
             } else if let Some((_, number)) = end.filter(|(at, _)| *at == now) {
                 self.ends.pop_first();
                 let (worker, job) = self.jobs.remove(&number).expect("it runs");
-                let next = self.workers.entry(worker).or_default().ended(now);
+                let next = self.workers.entry(worker).or_default().finish(now);
                 next.into_iter().for_each(|(end, job)| self.ends_at(end, worker, job));
                 self.core.attempt_ended(now, job.attempt, Ok(Reply::Ok(vec![0; 8])));
             } else {
@@ -267,7 +267,7 @@
           "loadSpanNs": 5000000000, "loadsAnyway": 3, "loadPart": 0.3}}}}"#,
         allow = ALLOW.0,
         wanted = WANTED.0,
-        keep = KEEP.0,
+        keep = COPY_KEEP_ALIVE.0,
     );
     let site = settings::read_site(site.as_bytes()).expect("the settings above");
     let count = plans.len();
--- a/lab/src/domain.rs
+++ b/lab/src/domain.rs
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use measure::{Load, Reach};
+pub use measure::{Propagation, TrafficRate};
 
 use crate::hollow::{HollowNode, elapsed};
 use crate::ledger::{Ledger, topic_of};
@@ -50,7 +50,7 @@
     /// Zones of the workers; subscriber `n` wants the workers of zone `n % zones` and of the next ones.
     pub zones: usize,
     /// Zones that a subscriber wants.
-    pub zones_each: usize,
+    pub zones_per_subscriber: usize,
     /// Workers, spread evenly over the zones.
     pub workers: usize,
     /// Classes.
@@ -58,53 +58,54 @@
     /// Links inside a region.
     pub link: Link,
     /// Links between regions.
-    pub far: Link,
+    pub inter_region_link: Link,
     /// What a control process spends on catch-ups.
     pub catch_up_bytes_per_second: u64,
     /// For how long a lease is held without being renewed.
     pub term: Duration,
     /// Roles whose check lets everything pass.
-    pub lax: Vec<Role>,
+    pub unchecked_roles: Vec<Role>,
     /// Everything that is drawn comes from it.
     pub seed: u64,
 }
 
 impl Default for Plan {
     fn default() -> Plan {
-        let far = Link { delay: Duration::millis(15), jitter: Duration::millis(5), ..Link::default() };
+        let inter_region_link =
+            Link { delay: Duration::millis(15), jitter: Duration::millis(5), ..Link::default() };
         Plan {
             replicas: 3,
             relays: 4,
             subscribers: 40,
             regions: 1,
             zones: 4,
-            zones_each: 1,
+            zones_per_subscriber: 1,
             workers: 200,
             classes: 3,
             link: Link::default(),
-            far,
+            inter_region_link,
             catch_up_bytes_per_second: 2_000_000,
             term: Duration::millis(2_000),
-            lax: vec![],
+            unchecked_roles: vec![],
             seed: 1,
         }
     }
 }
 
 /// The check of the lab's processes: a worker has a weight, and a class is a JSON object.
-pub struct Rules {
+pub struct LabCheck {
     /// Everything passes.
-    pub lax: bool,
+    pub accept_all: bool,
 }
 
-impl ChangeCheck for Rules {
+impl ChangeCheck for LabCheck {
     fn check(&self, changes: &[Change]) -> Result<(), String> {
         let bad = |change: &&Change| match &change.value {
             Some(Value::Worker(worker)) => worker.weight_milli == 0,
             Some(Value::Class(text)) => !text.starts_with('{'),
             Some(Value::Complete) | None => false,
         };
-        match changes.iter().find(bad).filter(|_| !self.lax) {
+        match changes.iter().find(bad).filter(|_| !self.accept_all) {
             Some(change) => Err(format!("{:?} has no meaning", change.key)),
             None => Ok(()),
         }
@@ -156,7 +157,7 @@
 impl Domain {
     /// A domain whose processes have all just started, with nothing published.
     pub fn new(plan: Plan) -> Domain {
-        let links = Rc::new(RefCell::new(Links::new(plan.regions, plan.far)));
+        let links = Rc::new(RefCell::new(Links::new(plan.regions, plan.inter_region_link)));
         let mut network = Network::new(plan.seed, plan.link);
         let table = links.clone();
         network.set_links(move |from, to| table.borrow().link(from, to));
@@ -235,16 +236,17 @@
         self.ledger.borrow()
     }
 
-    /// Counts what goes from one process to another from now on; see [`Ledger::counted`].
-    pub fn watch(&mut self, from: SocketAddr, to: SocketAddr) {
-        self.ledger.borrow_mut().watch(from, to);
+    /// Counts what goes from one process to another from now on; see [`Ledger::link_traffic`].
+    pub fn watch_link(&mut self, from: SocketAddr, to: SocketAddr) {
+        self.ledger.borrow_mut().watch_link(from, to);
     }
 
     /// The topics that a subscriber wants.
     pub fn interest(&self, index: usize) -> Interest {
         let zones = self.plan.zones;
-        let mut topics: Vec<Topic> =
-            (0..self.plan.zones_each.min(zones)).map(|next| topic((index + next) % zones)).collect();
+        let mut topics: Vec<Topic> = (0..self.plan.zones_per_subscriber.min(zones))
+            .map(|next| topic((index + next) % zones))
+            .collect();
         topics.sort();
         Interest::Topics(topics)
     }
@@ -280,7 +282,7 @@
         }
         self.stopped.remove(&at);
         let process = Process { index: number_of(at) as u32, incarnation: self.starts };
-        let check = Box::new(Rules { lax: self.plan.lax.contains(&role) });
+        let check = Box::new(LabCheck { accept_all: self.plan.unchecked_roles.contains(&role) });
         let fleet = message::fleet(NAME, &[]);
         let node = HollowNode::new(self.now(), fleet, process, setting, check, self.ledger.clone());
         self.network.start(at, node);
@@ -296,18 +298,18 @@
     }
 
     /// Stops a process as SIGSTOP does, or continues it.
-    pub fn stop(&mut self, role: Role, index: usize, stopped: bool) {
+    pub fn set_suspended(&mut self, role: Role, index: usize, stopped: bool) {
         let at = self.address(role, index);
         if stopped {
             self.stopped.insert(at);
         } else {
             self.stopped.remove(&at);
         }
-        self.network.stop(at, stopped);
+        self.network.set_suspended(at, stopped);
     }
 
     /// From now on processes reach only those that are named together with them; all that are not named reach each other.
-    pub fn cut(&mut self, sides: &[Vec<(Role, usize)>]) {
+    pub fn partition(&mut self, sides: &[Vec<(Role, usize)>]) {
         let mut table = BTreeMap::new();
         for (number, side) in sides.iter().enumerate() {
             table.extend(side.iter().map(|(role, index)| (self.address(*role, *index), number + 1)));
@@ -316,9 +318,9 @@
     }
 
     /// All processes reach each other again, and no link is ill.
-    pub fn heal(&mut self) {
+    pub fn restore_links(&mut self) {
         let mut links = self.links.borrow_mut();
-        *links = Links::new(links.regions, links.far);
+        *links = Links::new(links.regions, links.inter_region_link);
     }
 
     /// One link from now on, in one direction.
@@ -339,7 +341,7 @@
 
     /// Whether the domain looks after the publish lease by itself, as it does at first: one holder, which can reach a
     /// majority, and another a term after that ended.
-    pub fn look_after_lease(&mut self, automatic: bool) {
+    pub fn set_lease_managed(&mut self, automatic: bool) {
         self.lease.automatic = automatic;
     }
 
@@ -371,14 +373,14 @@
         self.lease.holder = Some(index);
         self.lease.until = until;
         self.fences.insert(index, self.lease.fence);
-        self.believe(index, Some(LeaseGrant { fence: self.lease.fence, until }));
+        self.notify_lease(index, Some(LeaseGrant { fence: self.lease.fence, until }));
         self.lease.fence
     }
 
     /// Has a replica believe that it holds the lease, or that it doesn't, whatever the lease service has.
-    pub fn believe(&mut self, index: usize, grant: Option<LeaseGrant>) {
+    pub fn notify_lease(&mut self, index: usize, grant: Option<LeaseGrant>) {
         let at = self.address(Role::Replica, index);
-        self.network.act(at, |node, now| node.handle(now, DistributionInput::Lease(grant)));
+        self.network.with_process(at, |node, now| node.handle(now, DistributionInput::Lease(grant)));
     }
 
     fn up(&self, index: usize) -> bool {
@@ -409,13 +411,13 @@
             if held && same && self.reaches_majority(index) {
                 self.lease.until = now + self.plan.term;
                 let grant = LeaseGrant { fence: self.lease.fence, until: self.lease.until };
-                return self.believe(index, Some(grant));
+                return self.notify_lease(index, Some(grant));
             }
             if held {
                 return;
             }
             if same && self.up(index) {
-                self.believe(index, None);
+                self.notify_lease(index, None);
             }
         }
         let first = self.lease.holder.unwrap_or(0);
@@ -471,21 +473,22 @@
     pub fn publish_at(&mut self, index: usize, changes: Vec<Change>) -> u64 {
         let ticket = self.ask(changes.clone());
         let at = self.address(Role::Replica, index);
-        self.network.act(at, |node, now| node.handle(now, DistributionInput::Publish { ticket, changes }));
+        self.network
+            .with_process(at, |node, now| node.handle(now, DistributionInput::Publish { ticket, changes }));
         ticket
     }
 
     fn ask(&mut self, changes: Vec<Change>) -> u64 {
         self.tickets += 1;
         let now = self.now();
-        self.ledger.borrow_mut().ask(self.tickets, now, changes);
+        self.ledger.borrow_mut().request(self.tickets, now, changes);
         self.tickets
     }
 
     /// What came of a publication, once it is known.
     pub fn outcome(&self, ticket: u64) -> Option<Result<Version, PublishError>> {
         let ledger = self.ledger.borrow();
-        let (_, outcome) = ledger.asked(ticket)?.outcome.as_ref()?;
+        let (_, outcome) = ledger.publication(ticket)?.outcome.as_ref()?;
         Some(outcome.clone())
     }
 
@@ -499,7 +502,7 @@
     }
 
     /// Publishes all that the source holds, and then that it is whole.
-    pub fn fill(&mut self) -> Result<Version, String> {
+    pub fn publish_all(&mut self) -> Result<Version, String> {
         let complete = Change { topic: Topic::SETTINGS, key: Key::Complete, value: Some(Value::Complete) };
         let classes = self.classes.iter().map(|(name, text)| class_change(name, Some(text.clone())));
         let workers = self.workers.iter().map(|(worker, record)| worker_change(*worker, *record));
@@ -536,17 +539,17 @@
     }
 
     /// New content for so many workers of the source, drawn.
-    pub fn touch(&mut self, count: usize) -> Vec<Change> {
+    pub fn modify_workers(&mut self, count: usize) -> Vec<Change> {
         (0..count)
             .map(|_| {
                 let worker = self.rng.random_range(0..self.plan.workers.max(1) as u64);
-                self.touch_worker(worker)
+                self.modify_worker(worker)
             })
             .collect()
     }
 
     /// New content for a worker of the source.
-    pub fn touch_worker(&mut self, worker: u64) -> Change {
+    pub fn modify_worker(&mut self, worker: u64) -> Change {
         self.touched += 1;
         let zones = self.plan.zones;
         let record = self.workers.entry(worker).or_insert_with(|| first_record(worker, zones));
@@ -561,37 +564,35 @@
         Some(Change { topic: topic_of(&Value::Worker(record)), key: Key::Worker(worker), value: None })
     }
 
-    /// Rules that were broken so far; compares all records that are in force too.
+    /// Violations recorded so far, after comparing all records in force with the committed ones.
     pub fn audit(&mut self) -> Vec<String> {
         let mut ledger = self.ledger.borrow_mut();
         measure::compare_records(&self.network, &mut ledger);
-        let lost = ledger.lost();
-        ledger.broken().iter().cloned().chain(lost).collect()
+        let lost = ledger.lost_changes();
+        ledger.violations().iter().cloned().chain(lost).collect()
     }
 
     /// How long after `since` a version was in force at the running subscribers that pass.
-    pub fn reach(
+    pub fn propagation(
         &self,
         since: Timestamp,
         version: Version,
         of: impl Fn(SocketAddr, &HollowNode) -> bool,
-    ) -> Reach {
+    ) -> Propagation {
         let some = self.running(Role::Subscriber).filter(|(at, node)| of(*at, node));
         let spans = some.map(|(_, node)| node.in_force(version).map(|at| elapsed(since, at)));
-        Reach::new(spans.collect())
+        Propagation::new(spans.collect())
     }
 
     /// How long after it was asked for a publication was in force at the running subscribers that it is of interest to.
-    pub fn reach_of(&self, ticket: u64) -> Option<Reach> {
+    pub fn propagation_of(&self, ticket: u64) -> Option<Propagation> {
         let ledger = self.ledger.borrow();
-        let asked = ledger.asked(ticket)?;
+        let asked = ledger.publication(ticket)?;
         let (_, Ok(version)) = asked.outcome.as_ref()? else { return None };
         let topics: BTreeSet<Topic> = asked.changes.iter().map(|change| change.topic).collect();
-        Some(
-            self.reach(asked.at, *version, |_, node| {
-                topics.iter().any(|topic| node.interest().covers(*topic))
-            }),
-        )
+        Some(self.propagation(asked.at, *version, |_, node| {
+            topics.iter().any(|topic| node.interest().covers(*topic))
+        }))
     }
 }
 
--- a/lab/src/domain/links.rs
+++ b/lab/src/domain/links.rs
@@ -1,4 +1,4 @@
-//! Which links of a domain are how: regions far from each other, sides that are cut off, and links that are ill.
+//! The state of the links of a domain: regions, partitions, and impaired links.
 
 use crate::network::Link;
 use std::collections::HashMap;
@@ -8,7 +8,7 @@
 pub(super) struct Links {
     /// Regions, and a link between two of them. Process `n` is in region `n % regions`.
     pub(super) regions: usize,
-    pub(super) far: Link,
+    pub(super) inter_region_link: Link,
     /// Processes that reach only those of the same side; who is not named is on side 0.
     pub(super) sides: HashMap<SocketAddr, usize>,
     pub(super) processes: HashMap<SocketAddr, Link>,
@@ -17,9 +17,9 @@
 }
 
 impl Links {
-    pub(super) fn new(regions: usize, far: Link) -> Links {
+    pub(super) fn new(regions: usize, inter_region_link: Link) -> Links {
         let (sides, processes, pairs) = (HashMap::new(), HashMap::new(), HashMap::new());
-        Links { regions, far, sides, processes, pairs, all: None }
+        Links { regions, inter_region_link, sides, processes, pairs, all: None }
     }
 
     pub(super) fn reaches(&self, from: SocketAddr, to: SocketAddr) -> bool {
@@ -40,7 +40,7 @@
             return Some(*link);
         }
         if self.regions > 1 && super::number_of(from) % self.regions != super::number_of(to) % self.regions {
-            return Some(self.far);
+            return Some(self.inter_region_link);
         }
         self.all
     }
--- a/lab/src/domain/measure.rs
+++ b/lab/src/domain/measure.rs
@@ -11,7 +11,7 @@
 
 /// How long a version took to be in force at some processes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reach {
+pub struct Propagation {
     /// Of how many.
     pub of: usize,
     /// Those where it isn't in force.
@@ -24,15 +24,15 @@
     pub last: Duration,
 }
 
-impl Reach {
-    pub(super) fn new(spans: Vec<Option<Duration>>) -> Reach {
+impl Propagation {
+    pub(super) fn new(spans: Vec<Option<Duration>>) -> Propagation {
         let mut reached: Vec<Duration> = spans.iter().flatten().copied().collect();
         reached.sort();
         let rank = |part: f64| {
             let rank = (reached.len() as f64 * part).ceil() as usize;
             reached.get(rank.saturating_sub(1)).copied().unwrap_or_default()
         };
-        Reach {
+        Propagation {
             of: spans.len(),
             missing: spans.len() - reached.len(),
             median: rank(0.5),
@@ -44,7 +44,7 @@
 
 /// What processes of a role sent and received, for each second and process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct TrafficRate {
     /// Processes.
     pub processes: usize,
     /// Bytes: mean of the processes.
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Bytes that each control process sent in its busiest second since [`Domain::forget_peaks`].
+    /// Bytes that each control process sent in its busiest second since [`Domain::reset_peaks`].
     pub fn peaks(&self) -> &BTreeMap<SocketAddr, u64> {
         &self.peaks.most
     }
 
     /// Starts to count peaks anew.
-    pub fn forget_peaks(&mut self) {
+    pub fn reset_peaks(&mut self) {
         self.peaks.most.clear();
     }
 
@@ -109,7 +109,7 @@
 
     /// Plays for so long, and says what processes of each role, in the order replicas, relays, subscribers, sent and received.
     /// Processes that start or end meanwhile don't count.
-    pub fn measure(&mut self, span: Duration) -> [Load; 3] {
+    pub fn measure(&mut self, span: Duration) -> [TrafficRate; 3] {
         let before = self.traffic();
         self.run(span);
         let after = self.traffic();
@@ -120,10 +120,10 @@
     }
 }
 
-fn load<'a>(spent: impl Iterator<Item = (&'a Traffic, &'a Traffic)>, seconds: f64) -> Load {
+fn load<'a>(spent: impl Iterator<Item = (&'a Traffic, &'a Traffic)>, seconds: f64) -> TrafficRate {
     let bytes = |traffic: &Traffic| traffic.bytes_sent + traffic.bytes_received;
     let datagrams = |traffic: &Traffic| traffic.datagrams_sent + traffic.datagrams_received;
-    let mut load = Load::default();
+    let mut load = TrafficRate::default();
     for (before, after) in spent {
         let bytes = bytes(after).saturating_sub(bytes(before)) as f64 / seconds;
         let datagrams = datagrams(after).saturating_sub(datagrams(before)) as f64 / seconds;
@@ -156,11 +156,11 @@
             .or_insert_with(|| ledger.records_at(version, interest));
         let records = records_of(process.node());
         if expected.as_ref() != Some(&records) {
-            ledger.broke(format!("{at} does not hold at {version:?} what was committed"));
+            ledger.record_violation(format!("{at} does not hold at {version:?} what was committed"));
         }
         let hashes = records.iter().map(|((topic, key), value)| hash_of(*topic, key, value));
         if hashes.fold(0, u64::wrapping_add) != process.node().digest() {
-            ledger.broke(format!("{at} has another digest at {version:?} than its records"));
+            ledger.record_violation(format!("{at} has another digest at {version:?} than its records"));
         }
     }
 }
--- a/lab/src/domain/tests.rs
+++ b/lab/src/domain/tests.rs
@@ -32,7 +32,7 @@
     let mut ledger = Ledger::new(&replicas());
     let batch = [change(0, 1), change(1, 1), complete()];
     commit(&mut ledger, 0, version(0, 0), version(1, 3), &batch, QUORUM);
-    assert!(ledger.broken().is_empty(), "{:?}", ledger.broken());
+    assert!(ledger.violations().is_empty(), "{:?}", ledger.violations());
     ledger
 }
 
@@ -52,7 +52,7 @@
 
 #[track_caller]
 fn finds(ledger: &Ledger, words: &str) {
-    let broken = ledger.broken();
+    let broken = ledger.violations();
     assert!(broken.len() == 1 && broken[0].contains(words), "{broken:?}");
 }
 
@@ -65,7 +65,7 @@
         ledger.installed(address_of(9), Role::Subscriber, &zone, version, Some(digest));
         ledger
     };
-    assert!(installed(version(1, 3), right).broken().is_empty());
+    assert!(installed(version(1, 3), right).violations().is_empty());
     finds(&installed(version(1, 2), right), "never committed");
     finds(&installed(version(2, 3), right), "never committed");
     finds(&installed(version(1, 3), right.wrapping_add(1)), "other records");
@@ -79,7 +79,7 @@
     commit(&mut ledger, 0, version(0, 0), version(1, 1), &[change(0, 1)], QUORUM);
     let all = digest(&[change(0, 1)]);
     ledger.installed(address_of(1), Role::Replica, &Interest::All, version(1, 1), Some(all));
-    assert!(ledger.broken().is_empty());
+    assert!(ledger.violations().is_empty());
     ledger.installed(address_of(5), Role::Relay, &Interest::All, version(1, 1), Some(all));
     finds(&ledger, "not whole");
 }
@@ -103,7 +103,7 @@
     commit(&mut ledger, 0, version(1, 3), version(1, 4), &[change(0, 2)], QUORUM);
     commit(&mut ledger, 1, version(1, 3), version(2, 5), &[change(0, 3), change(1, 3)], QUORUM);
     finds(&ledger, "though");
-    assert_eq!(ledger.eras(), 1);
+    assert_eq!(ledger.histories(), 1);
 }
 
 #[test]
@@ -124,49 +124,49 @@
     ledger.killed(address_of(0));
     ledger.killed(address_of(1));
     commit(&mut ledger, 2, version(0, 0), version(2, 4), &[change(0, 2)], QUORUM);
-    assert!(ledger.broken().is_empty(), "{:?}", ledger.broken());
+    assert!(ledger.violations().is_empty(), "{:?}", ledger.violations());
 }
 
 #[test]
 fn what_was_acknowledged_must_stand() {
     let mut ledger = ledger();
     let now = Timestamp(1);
-    ledger.ask(1, now, vec![change(0, 2)]);
-    ledger.ask(2, now, vec![change(1, 2)]);
+    ledger.request(1, now, vec![change(0, 2)]);
+    ledger.request(2, now, vec![change(1, 2)]);
     commit(&mut ledger, 0, version(1, 3), version(1, 4), &[change(0, 2)], QUORUM);
     ledger.published(now, 1, Ok(version(1, 4)));
-    assert!(ledger.lost().is_empty(), "{:?}", ledger.lost());
+    assert!(ledger.lost_changes().is_empty(), "{:?}", ledger.lost_changes());
     // Said to be in a version that doesn't have it.
     ledger.published(now, 2, Ok(version(1, 4)));
-    assert_eq!(ledger.lost().len(), 1, "{:?}", ledger.lost());
+    assert_eq!(ledger.lost_changes().len(), 1, "{:?}", ledger.lost_changes());
     ledger.published(now, 2, Err(PublishError::TooMany));
     finds(&ledger, "came to");
-    ledger.ask(3, now, vec![change(1, 3)]);
+    ledger.request(3, now, vec![change(1, 3)]);
     ledger.published(now, 3, Ok(version(1, 9)));
-    assert!(ledger.broken()[1].contains("not committed"), "{:?}", ledger.broken());
+    assert!(ledger.violations()[1].contains("not committed"), "{:?}", ledger.violations());
 }
 
 #[test]
 fn a_reach_tells_ranks_and_who_is_missing() {
     let spans = (1..=200).map(|n| Some(Duration(n))).chain([None]).collect();
-    let reach = Reach::new(spans);
+    let reach = Propagation::new(spans);
     assert_eq!((reach.of, reach.missing), (201, 1));
     assert_eq!(
         (reach.median, reach.percentile_99, reach.last),
         (Duration(100), Duration(198), Duration(200))
     );
-    assert_eq!(Reach::new(vec![]).of, 0);
+    assert_eq!(Propagation::new(vec![]).of, 0);
 }
 
 #[test]
 fn sides_and_ill_links_are_as_they_were_set() {
-    let far = Link { delay: Duration::millis(15), ..Link::default() };
-    let mut links = Links::new(2, far);
+    let inter_region_link = Link { delay: Duration::millis(15), ..Link::default() };
+    let mut links = Links::new(2, inter_region_link);
     let [one, two, three] = [address_of(0), address_of(1), address_of(2)];
-    assert_eq!((links.link(one, two), links.link(one, three)), (Some(far), None));
-    links.processes.insert(three, Link { loss: 0.5, ..far });
-    assert_eq!(links.link(one, three), Some(Link { loss: 0.5, ..far }));
-    links.pairs.insert((one, three), Link { loss: 0.7, ..far });
+    assert_eq!((links.link(one, two), links.link(one, three)), (Some(inter_region_link), None));
+    links.processes.insert(three, Link { loss: 0.5, ..inter_region_link });
+    assert_eq!(links.link(one, three), Some(Link { loss: 0.5, ..inter_region_link }));
+    links.pairs.insert((one, three), Link { loss: 0.7, ..inter_region_link });
     assert_eq!(links.link(one, three).map(|link| link.loss), Some(0.7));
     assert_eq!(links.link(three, one).map(|link| link.loss), Some(0.5));
     links.sides.insert(one, 1);
--- a/lab/src/hollow.rs
+++ b/lab/src/hollow.rs
@@ -23,7 +23,7 @@
     interest: Interest,
     process: fleet::Process,
     fleet: u64,
-    hold: Option<LeaseGrant>,
+    grant: Option<LeaseGrant>,
     ledger: Rc<RefCell<Ledger>>,
     version: Version,
     installs: Vec<(Timestamp, Version)>,
@@ -31,7 +31,7 @@
     parents: Vec<(Timestamp, Option<SocketAddr>)>,
     pages: u64,
     changes: u64,
-    spent: std::time::Duration,
+    busy_time: std::time::Duration,
 }
 
 impl HollowNode {
@@ -51,7 +51,7 @@
             interest: setting.interest.clone(),
             process,
             fleet,
-            hold: None,
+            grant: None,
             ledger,
             version: Version::default(),
             installs: vec![],
@@ -60,7 +60,7 @@
             pages: 0,
             changes: 0,
             node: DistributionNode::new(now, setting, check),
-            spent: begun.elapsed(),
+            busy_time: begun.elapsed(),
         }
     }
 
@@ -111,18 +111,18 @@
     }
 
     /// Time in the machine's own calls and in the codec, by this computer's clock. It decides nothing.
-    pub fn spent(&self) -> std::time::Duration {
-        self.spent
+    pub fn busy_time(&self) -> std::time::Duration {
+        self.busy_time
     }
 
     /// Has the machine take in an event, and does what it says.
     pub fn handle(&mut self, now: Timestamp, event: DistributionInput) -> Outgoing {
-        if let DistributionInput::Lease(hold) = &event {
-            self.hold = *hold;
+        if let DistributionInput::Lease(grant) = &event {
+            self.grant = *grant;
         }
         let begun = Instant::now();
         let outputs = self.node.handle(now, event);
-        self.spent += begun.elapsed();
+        self.busy_time += begun.elapsed();
         let mut outgoing = vec![];
         let last = outputs.iter().rposition(|output| matches!(output, DistributionOutput::Installed { .. }));
         for (number, output) in outputs.into_iter().enumerate() {
@@ -130,7 +130,7 @@
                 DistributionOutput::Send(to, message) => {
                     let begun = Instant::now();
                     outgoing.push((to, self.encode(to, message)));
-                    self.spent += begun.elapsed();
+                    self.busy_time += begun.elapsed();
                 }
                 DistributionOutput::Installed { version, changes } => {
                     self.installed(now, version, &changes, last == Some(number));
@@ -160,7 +160,7 @@
         }
         let bytes = distribution::datagram(self.fleet, self.process, std::slice::from_ref(&message));
         if bytes.len() > message::LARGEST {
-            ledger.broke(format!("{} sent a datagram of {} bytes", self.at, bytes.len()));
+            ledger.record_violation(format!("{} sent a datagram of {} bytes", self.at, bytes.len()));
         }
         ledger.sent(self.at, to, bytes.len());
         bytes
@@ -169,15 +169,15 @@
     fn installed(&mut self, now: Timestamp, version: Version, changes: &[distribution::Change], last: bool) {
         let mut ledger = self.ledger.borrow_mut();
         if version < self.version {
-            ledger.broke(format!("{} went back from {:?} to {version:?}", self.at, self.version));
+            ledger.record_violation(format!("{} went back from {:?} to {version:?}", self.at, self.version));
         }
         if let Some(change) = changes.iter().find(|change| !self.interest.covers(change.topic)) {
-            ledger.broke(format!("{} has {change:?} in force, which it did not want", self.at));
+            ledger.record_violation(format!("{} has {change:?} in force, which it did not want", self.at));
         }
         // Whoever holds the lease, or believes it, commits; an open batch of a publisher before it keeps that one's fence.
-        if let Some(hold) = self.hold.filter(|_| self.role == Role::Replica) {
+        if let Some(grant) = self.grant.filter(|_| self.role == Role::Replica) {
             let node = last.then_some(&self.node);
-            ledger.committed(self.at, hold.fence, self.version, version, changes, node);
+            ledger.committed(self.at, grant.fence, self.version, version, changes, node);
         }
         let digest = last.then(|| self.node.digest());
         ledger.installed(self.at, self.role, &self.interest, version, digest);
@@ -194,7 +194,7 @@
             if let Some(change) = page.changes.iter().find(|change| !self.interest.covers(change.topic)) {
                 self.ledger
                     .borrow_mut()
-                    .broke(format!("{} was sent {change:?}, which it did not want", self.at));
+                    .record_violation(format!("{} was sent {change:?}, which it did not want", self.at));
             }
         }
     }
@@ -205,16 +205,16 @@
         self.node.next_timeout()
     }
 
-    fn datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
+    fn on_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
         let begun = Instant::now();
         let read = message::read(self.fleet, bytes);
-        self.spent += begun.elapsed();
+        self.busy_time += begun.elapsed();
         let Ok(datagram) = read else { return vec![] };
         self.watch(&datagram.distribution);
         self.handle(now, DistributionInput::Received { from, messages: &datagram.distribution })
     }
 
-    fn timer(&mut self, now: Timestamp) -> Outgoing {
+    fn on_timer(&mut self, now: Timestamp) -> Outgoing {
         self.handle(now, DistributionInput::Timer)
     }
 }
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 
 /// Broken rules that are told; more say no more.
-const TOLD: usize = 50;
+const MAX_VIOLATIONS: usize = 50;
 
 /// Records by topic and key.
 pub type Records = BTreeMap<(Topic, Key), Value>;
 
 /// A batch of changes that was given to a publisher.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Publication {
     /// When.
     pub at: Timestamp,
     /// The changes.
@@ -26,7 +26,7 @@
 
 /// One history of the domain. Another begins where a majority of the replicas has lost all.
 #[derive(Default)]
-struct Era {
+struct History {
     /// Before the first change of the log.
     first: Records,
     head: u64,
@@ -37,18 +37,19 @@
     complete: Option<u64>,
 }
 
-impl Era {
-    fn of(node: &DistributionNode, version: Version) -> Era {
+impl History {
+    fn of(node: &DistributionNode, version: Version) -> History {
         let records = records_of(node);
-        let mut era = Era { first: records.clone(), head: version.sequence, records, ..Era::default() };
-        for ((topic, key), value) in &era.records {
+        let mut history =
+            History { first: records.clone(), head: version.sequence, records, ..History::default() };
+        for ((topic, key), value) in &history.records {
             let hash = hash_of(*topic, key, value);
-            let digests = era.digests.entry(*topic).or_insert_with(|| vec![(version.sequence, 0)]);
+            let digests = history.digests.entry(*topic).or_insert_with(|| vec![(version.sequence, 0)]);
             digests[0].1 = digests[0].1.wrapping_add(hash);
         }
-        era.complete =
-            era.records.contains_key(&(Topic::SETTINGS, Key::Complete)).then_some(version.sequence);
-        era
+        history.complete =
+            history.records.contains_key(&(Topic::SETTINGS, Key::Complete)).then_some(version.sequence);
+        history
     }
 
     fn append(&mut self, sequence: u64, changes: &[Change]) {
@@ -126,7 +127,7 @@
 /// See the module's page.
 pub struct Ledger {
     quorum: usize,
-    eras: Vec<Era>,
+    histories: Vec<History>,
     versions: HashMap<Version, usize>,
     head: Version,
     /// Who has accepted the batch of a fence after a sequence.
@@ -136,10 +137,10 @@
     /// Replicas that have started with nothing, and the sequence from which on they know all.
     recovering: BTreeMap<SocketAddr, u64>,
     majority_lost: bool,
-    asked: BTreeMap<u64, Asked>,
+    publications: BTreeMap<u64, Publication>,
     /// Datagrams and bytes on links that are watched.
     watched: BTreeMap<(SocketAddr, SocketAddr), (u64, u64)>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Ledger {
@@ -147,16 +148,16 @@
     pub fn new(replicas: &[SocketAddr]) -> Ledger {
         Ledger {
             quorum: replicas.len() / 2 + 1,
-            eras: vec![Era::default()],
+            histories: vec![History::default()],
             versions: HashMap::from([(Version::default(), 0)]),
             head: Version::default(),
             accepted: BTreeMap::new(),
             established: replicas.iter().copied().collect(),
             recovering: BTreeMap::new(),
             majority_lost: false,
-            asked: BTreeMap::new(),
+            publications: BTreeMap::new(),
             watched: BTreeMap::new(),
-            broken: vec![],
+            violations: vec![],
         }
     }
 
@@ -165,14 +166,14 @@
         self.head
     }
 
-    /// Rules that were broken.
-    pub fn broken(&self) -> &[String] {
-        &self.broken
+    /// Violations recorded so far.
+    pub fn violations(&self) -> &[String] {
+        &self.violations
     }
 
     /// Histories of the domain: one more each time that a majority of the replicas had lost all.
-    pub fn eras(&self) -> usize {
-        self.eras.len()
+    pub fn histories(&self) -> usize {
+        self.histories.len()
     }
 
     /// Whether a replica has known all that was committed since it came to know it first: it was there from the start, or
@@ -182,33 +183,33 @@
     }
 
     /// What was asked of publishers, by ticket.
-    pub fn asked(&self, ticket: u64) -> Option<&Asked> {
-        self.asked.get(&ticket)
+    pub fn publication(&self, ticket: u64) -> Option<&Publication> {
+        self.publications.get(&ticket)
     }
 
     /// All that was committed and stands.
     pub fn records(&self) -> &Records {
-        &self.era().records
+        &self.history().records
     }
 
-    fn era(&self) -> &Era {
-        &self.eras[self.eras.len() - 1]
+    fn history(&self) -> &History {
+        &self.histories[self.histories.len() - 1]
     }
 
-    /// A rule was broken.
-    pub fn broke(&mut self, what: String) {
-        if self.broken.len() < TOLD {
-            self.broken.push(what);
+    /// Records a violation.
+    pub fn record_violation(&mut self, what: String) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(what);
         }
     }
 
     /// Counts what goes from one process to another from now on.
-    pub fn watch(&mut self, from: SocketAddr, to: SocketAddr) {
+    pub fn watch_link(&mut self, from: SocketAddr, to: SocketAddr) {
         self.watched.insert((from, to), (0, 0));
     }
 
     /// Datagrams and bytes counted on a watched link.
-    pub fn counted(&self, from: SocketAddr, to: SocketAddr) -> (u64, u64) {
+    pub fn link_traffic(&self, from: SocketAddr, to: SocketAddr) -> (u64, u64) {
         self.watched.get(&(from, to)).copied().unwrap_or_default()
     }
 
@@ -239,21 +240,23 @@
         self.accepted.entry((fence, after)).or_default().insert(at);
     }
 
-    pub(crate) fn ask(&mut self, ticket: u64, at: Timestamp, changes: Vec<Change>) {
-        self.asked.insert(ticket, Asked { at, changes, outcome: None });
+    pub(crate) fn request(&mut self, ticket: u64, at: Timestamp, changes: Vec<Change>) {
+        self.publications.insert(ticket, Publication { at, changes, outcome: None });
     }
 
     pub(crate) fn published(&mut self, now: Timestamp, ticket: u64, outcome: Result<Version, PublishError>) {
         if let Ok(version) = &outcome
             && !self.versions.contains_key(version)
         {
-            self.broke(format!("ticket {ticket} was published as {version:?}, which was not committed"));
+            self.record_violation(format!(
+                "ticket {ticket} was published as {version:?}, which was not committed"
+            ));
         }
-        let Some(asked) = self.asked.get_mut(&ticket) else {
-            return self.broke(format!("ticket {ticket} was never asked for"));
+        let Some(asked) = self.publications.get_mut(&ticket) else {
+            return self.record_violation(format!("ticket {ticket} was never asked for"));
         };
         if let Some((_, before)) = asked.outcome.replace((now, outcome.clone())) {
-            self.broke(format!("ticket {ticket} came to {before:?} and to {outcome:?}"));
+            self.record_violation(format!("ticket {ticket} came to {before:?} and to {outcome:?}"));
         }
     }
 
@@ -273,27 +276,27 @@
         }
         let voters = self.accepted.remove(&(fence, before.sequence)).unwrap_or_default();
         if 1 + voters.iter().filter(|voter| **voter != at).count() < self.quorum {
-            self.broke(format!("{at} committed {version:?} with the votes of {voters:?} only"));
+            self.record_violation(format!("{at} committed {version:?} with the votes of {voters:?} only"));
         }
         self.accepted.retain(|(voted, after), _| *voted >= fence && *after >= before.sequence);
-        let current = self.eras.len() - 1;
+        let current = self.histories.len() - 1;
         let follows = self.versions.get(&before) == Some(&current);
-        let era = &mut self.eras[current];
-        if follows && before.sequence == era.head {
-            era.append(version.sequence, changes);
+        let history = &mut self.histories[current];
+        if follows && before.sequence == history.head {
+            history.append(version.sequence, changes);
         } else {
             // The same state under another fence, or another history.
-            let same = follows && version.sequence <= era.head;
-            let digest = era.digest(&Interest::All, version.sequence);
+            let same = follows && version.sequence <= history.head;
+            let digest = history.digest(&Interest::All, version.sequence);
             if !same || node.is_some_and(|node| node.digest() != digest) {
-                self.begin_era(at, before, version, node);
+                self.begin_history(at, before, version, node);
             }
         }
-        self.versions.insert(version, self.eras.len() - 1);
+        self.versions.insert(version, self.histories.len() - 1);
         self.head = self.head.max(version);
     }
 
-    fn begin_era(
+    fn begin_history(
         &mut self,
         at: SocketAddr,
         before: Version,
@@ -302,10 +305,12 @@
     ) {
         if !self.majority_lost {
             let head = self.head;
-            self.broke(format!("{at} committed {version:?} on {before:?} though {head:?} was committed"));
+            self.record_violation(format!(
+                "{at} committed {version:?} on {before:?} though {head:?} was committed"
+            ));
         }
         let Some(node) = node else { return };
-        self.eras.push(Era::of(node, version));
+        self.histories.push(History::of(node, version));
         self.established.insert(at);
         self.recovering.remove(&at);
         for needed in self.recovering.values_mut() {
@@ -328,18 +333,19 @@
         digest: Option<u64>,
     ) {
         let Some(number) = self.versions.get(&version).copied() else {
-            return self.broke(format!("{at} has {version:?} in force, which was never committed"));
+            return self
+                .record_violation(format!("{at} has {version:?} in force, which was never committed"));
         };
-        let era = &self.eras[number];
-        let committed = era.digest(interest, version.sequence);
-        let complete = era.complete.is_some_and(|complete| complete <= version.sequence);
+        let history = &self.histories[number];
+        let committed = history.digest(interest, version.sequence);
+        let complete = history.complete.is_some_and(|complete| complete <= version.sequence);
         if digest.is_some_and(|digest| digest != committed) {
-            self.broke(format!("{at} holds other records at {version:?} than were committed"));
+            self.record_violation(format!("{at} holds other records at {version:?} than were committed"));
         }
         if role != Role::Replica && !complete {
-            self.broke(format!("{at} has {version:?} in force, which is not whole"));
+            self.record_violation(format!("{at} has {version:?} in force, which is not whole"));
         }
-        let knows = number + 1 == self.eras.len()
+        let knows = number + 1 == self.histories.len()
             && self.recovering.get(&at).is_some_and(|needed| *needed <= version.sequence);
         if knows {
             self.recovering.remove(&at);
@@ -350,21 +356,21 @@
 
     /// What an interest holds at a version; none where that was never committed.
     pub fn records_at(&self, version: Version, interest: &Interest) -> Option<Records> {
-        let era = &self.eras[*self.versions.get(&version)?];
-        let mut records = era.records_at(version.sequence);
+        let history = &self.histories[*self.versions.get(&version)?];
+        let mut records = history.records_at(version.sequence);
         records.retain(|(topic, _), _| interest.covers(*topic));
         Some(records)
     }
 
     /// Changes that were acknowledged as published and do not stand, though nothing that was asked for later, or whose
     /// outcome is open, is about the same record.
-    pub fn lost(&self) -> Vec<String> {
-        if self.eras.len() > 1 {
+    pub fn lost_changes(&self) -> Vec<String> {
+        if self.histories.len() > 1 {
             return vec![];
         }
         let mut last: BTreeMap<(Topic, &Key), (Version, u64, &Change)> = BTreeMap::new();
         let mut open: BTreeSet<(Topic, &Key)> = BTreeSet::new();
-        for (ticket, asked) in &self.asked {
+        for (ticket, asked) in &self.publications {
             for change in &asked.changes {
                 let place = (change.topic, &change.key);
                 match &asked.outcome {
@@ -382,7 +388,7 @@
             }
         }
         last.retain(|place, _| !open.contains(place));
-        let stands = |change: &Change| self.era().records.get(&(change.topic, change.key.clone()));
+        let stands = |change: &Change| self.history().records.get(&(change.topic, change.key.clone()));
         let lost = last.values().filter(|(.., change)| stands(change) != change.value.as_ref());
         lost.map(|(version, ticket, change)| format!("ticket {ticket} of {version:?}: {change:?} is lost"))
             .collect()
--- a/lab/src/network.rs
+++ b/lab/src/network.rs
@@ -1,5 +1,5 @@
-//! A network of processes in virtual time: datagrams on links that lose, delay, repeat, reorder, spoil and cut, and
-//! processes that are stopped, continued, killed and started again. Same seed, same run.
+//! A network of processes in virtual time: datagrams on links that lose, delay, duplicate, reorder, corrupt and cut, and
+//! processes that are suspended, continued, killed and started again. Same seed, same run.
 
 pub use mintgate::{Duration, Timestamp};
 use rand::rngs::SmallRng;
@@ -13,12 +13,12 @@
 
 /// A machine without sockets or a clock.
 pub trait Process {
-    /// When [`Process::timer`] is to be called next.
+    /// When [`Process::on_timer`] is to be called next.
     fn next_timeout(&self) -> Option<Timestamp>;
     /// A datagram has come; what is sent in turn.
-    fn datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing;
+    fn on_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing;
     /// The time told by [`Process::next_timeout`] has come; what is sent in turn.
-    fn timer(&mut self, now: Timestamp) -> Outgoing;
+    fn on_timer(&mut self, now: Timestamp) -> Outgoing;
 }
 
 /// What a link does to datagrams.
@@ -29,9 +29,9 @@
     /// The part that is lost.
     pub loss: f64,
     /// The part that comes twice.
-    pub repeat: f64,
+    pub duplicate: f64,
     /// The part of which a byte is changed on the way.
-    pub spoil: f64,
+    pub corrupt: f64,
     /// The least time that one takes.
     pub delay: Duration,
     /// Up to so much longer, drawn for each: what is drawn long comes after what was sent later.
@@ -42,7 +42,7 @@
     /// A link of one site that is well.
     fn default() -> Link {
         let (delay, jitter) = (Duration(200_000), Duration(300_000));
-        Link { cut: false, loss: 0.0, repeat: 0.0, spoil: 0.0, delay, jitter }
+        Link { cut: false, loss: 0.0, duplicate: 0.0, corrupt: 0.0, delay, jitter }
     }
 }
 
@@ -63,8 +63,8 @@
     process: P,
     /// Told apart from others that had this address before.
     incarnation: u64,
-    stopped: bool,
-    /// What waits in the socket of one that is stopped.
+    suspended: bool,
+    /// What waits in the socket of one that is suspended.
     waiting: Vec<(SocketAddr, Vec<u8>)>,
     wake: Option<Timestamp>,
     traffic: Traffic,
@@ -76,7 +76,7 @@
     Deliver { to: SocketAddr, from: SocketAddr, bytes: Vec<u8> },
 }
 
-/// Datagrams that wait in the socket of a stopped process at most; the rest is lost, as by a full buffer.
+/// Datagrams that wait in the socket of a suspended process at most; the rest is lost, as by a full buffer.
 const SOCKET_BUFFER: usize = 1_000;
 
 /// See the module's page.
@@ -121,7 +121,7 @@
         let host = Host {
             process,
             incarnation: self.number,
-            stopped: false,
+            suspended: false,
             waiting: vec![],
             wake: None,
             traffic: Traffic::default(),
@@ -136,10 +136,10 @@
     }
 
     /// Stops a process as SIGSTOP does, or continues it.
-    pub fn stop(&mut self, at: SocketAddr, stopped: bool) {
+    pub fn set_suspended(&mut self, at: SocketAddr, suspended: bool) {
         let Some(host) = self.hosts.get_mut(&at) else { return };
-        host.stopped = stopped;
-        if stopped {
+        host.suspended = suspended;
+        if suspended {
             return;
         }
         for (from, bytes) in std::mem::take(&mut host.waiting) {
@@ -164,10 +164,10 @@
     }
 
     /// Has a process do something by its own, such as taking in an event, and sends what it says.
-    pub fn act(&mut self, at: SocketAddr, act: impl FnOnce(&mut P, Timestamp) -> Outgoing) {
+    pub fn with_process(&mut self, at: SocketAddr, action: impl FnOnce(&mut P, Timestamp) -> Outgoing) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(&at) else { return };
-        let outgoing = act(&mut host.process, now);
+        let outgoing = action(&mut host.process, now);
         self.send(at, outgoing);
         self.arm(at);
     }
@@ -183,7 +183,7 @@
                     let running = self.hosts.get_mut(&at).filter(|host| host.incarnation == incarnation);
                     let Some(host) = running.filter(|host| host.wake == Some(self.now)) else { continue };
                     host.wake = None;
-                    if !host.stopped {
+                    if !host.suspended {
                         self.on_timeout(at);
                     }
                 }
@@ -194,7 +194,7 @@
 
     fn deliver(&mut self, to: SocketAddr, from: SocketAddr, bytes: Vec<u8>) {
         let Some(host) = self.hosts.get_mut(&to) else { return };
-        if !host.stopped {
+        if !host.suspended {
             return self.receive(to, from, &bytes);
         }
         if host.waiting.len() < SOCKET_BUFFER {
@@ -207,7 +207,7 @@
         let Some(host) = self.hosts.get_mut(&at) else { return };
         host.traffic.datagrams_received += 1;
         host.traffic.bytes_received += bytes.len() as u64;
-        let outgoing = host.process.datagram(now, from, bytes);
+        let outgoing = host.process.on_datagram(now, from, bytes);
         self.send(at, outgoing);
         self.arm(at);
     }
@@ -216,7 +216,7 @@
         let now = self.now;
         let Some(host) = self.hosts.get_mut(&at) else { return };
         if host.process.next_timeout().is_some_and(|due| due <= now) {
-            let outgoing = host.process.timer(now);
+            let outgoing = host.process.on_timer(now);
             self.send(at, outgoing);
         }
         self.arm(at);
@@ -253,9 +253,9 @@
             if link.cut || self.draw(link.loss) {
                 continue;
             }
-            let copies = 1 + usize::from(self.draw(link.repeat));
+            let copies = 1 + usize::from(self.draw(link.duplicate));
             for _ in 0..copies {
-                let bytes = self.spoilt(&bytes, link.spoil);
+                let bytes = self.maybe_corrupt(&bytes, link.corrupt);
                 let delay = link.delay.0 + self.rng.random_range(0..=link.jitter.0);
                 self.queue_at(self.now + Duration(delay), Happening::Deliver { to, from, bytes });
             }
@@ -266,7 +266,7 @@
         part > 0.0 && self.rng.random_bool(part.min(1.0))
     }
 
-    fn spoilt(&mut self, bytes: &[u8], part: f64) -> Vec<u8> {
+    fn maybe_corrupt(&mut self, bytes: &[u8], part: f64) -> Vec<u8> {
         let mut bytes = bytes.to_vec();
         if !bytes.is_empty() && self.draw(part) {
             let at = self.rng.random_range(0..bytes.len());
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -463,7 +463,7 @@
 }
 
 /// Plays one fleet.
-pub fn play(plan: &Plan, seed: u64) -> Report {
+pub fn simulate(plan: &Plan, seed: u64) -> Report {
     let mut world = World::new(plan, seed);
     for index in 0..plan.processes {
         let at = world.rng.random_range(0..SECOND / 4);
@@ -522,7 +522,7 @@
         let shares: Vec<_> = (0..threads)
             .map(|n| {
                 let seeds = seeds.clone().skip(n as usize).step_by(threads as usize);
-                scope.spawn(move || seeds.map(|seed| (seed, play(plan, seed))).collect::<Vec<_>>())
+                scope.spawn(move || seeds.map(|seed| (seed, simulate(plan, seed))).collect::<Vec<_>>())
             })
             .collect();
         shares.into_iter().filter_map(|share| share.join().ok()).flatten().collect()
--- a/lab/src/scale/distribution.rs
+++ b/lab/src/scale/distribution.rs
@@ -21,8 +21,8 @@
 const FAR: Link = Link {
     cut: false,
     loss: 0.0,
-    repeat: 0.0,
-    spoil: 0.0,
+    duplicate: 0.0,
+    corrupt: 0.0,
     delay: Duration::millis(40),
     jitter: Duration::millis(10),
 };
@@ -93,14 +93,14 @@
         subscribers,
         regions: plan.regions,
         zones: ZONES,
-        zones_each: 1,
+        zones_per_subscriber: 1,
         workers: plan.workers,
-        far: FAR,
+        inter_region_link: FAR,
         seed: plan.seed,
         ..domain::Plan::default()
     });
     let begun = domain.now();
-    domain.fill()?;
+    domain.publish_all()?;
     let filled = domain.now() - begun;
     if !domain.settle(LONG) {
         return Err(format!("{subscribers} schedulers did not have the list within {} s", LONG.secs()));
@@ -156,7 +156,9 @@
     fn moment(&self) -> Moment {
         let traffic = self.domain.traffic();
         let all = ROLES.iter().flat_map(|(role, _)| self.domain.running(*role));
-        Moment::of(all.map(|(at, node)| (at, traffic.get(&at).copied().unwrap_or_default(), node.spent())))
+        Moment::of(
+            all.map(|(at, node)| (at, traffic.get(&at).copied().unwrap_or_default(), node.busy_time())),
+        )
     }
 
     fn memory(&mut self, (subscriber, control): (f64, f64)) {
@@ -201,7 +203,7 @@
             self.domain.run(Duration(until.0.saturating_sub(now.0)));
             faults.happen(&mut self.domain, count);
             if next <= self.domain.now() && next < end {
-                let changes = self.domain.touch(1);
+                let changes = self.domain.modify_workers(1);
                 all.push(Asked::new(&mut self.domain, changes));
                 next = next + step;
             }
@@ -318,7 +320,7 @@
     /// All schedulers of a zone start again at once.
     fn come_back(&mut self) -> Result<(), String> {
         let indices: Vec<usize> = (0..self.plan.hollow.min(RETURN)).collect();
-        self.domain.forget_peaks();
+        self.domain.reset_peaks();
         let mut seconds = self.restart(Role::Subscriber, &indices, FORGOTTEN)?;
         let received = |index: &usize| {
             let at = self.domain.address(Role::Subscriber, *index);
@@ -349,9 +351,9 @@
         Domain::start(self, role, index);
     }
 
-    fn stop(&mut self, index: usize, stopped: bool) {
+    fn set_suspended(&mut self, index: usize, stopped: bool) {
         let (role, index) = self.all()[index];
-        Domain::stop(self, role, index, stopped);
+        Domain::set_suspended(self, role, index, stopped);
     }
 
     fn cut(&mut self, index: usize, cut: bool) {
--- a/lab/src/scale/faults.rs
+++ b/lab/src/scale/faults.rs
@@ -17,7 +17,7 @@
     /// Another one starts in its place.
     fn start(&mut self, index: usize);
     /// It is stopped as by SIGSTOP, or goes on.
-    fn stop(&mut self, index: usize, stopped: bool);
+    fn set_suspended(&mut self, index: usize, stopped: bool);
     /// It reaches nobody and nobody reaches it, or they do again.
     fn cut(&mut self, index: usize, cut: bool);
 }
@@ -75,7 +75,7 @@
             }
             match fault {
                 Fault::Kill => world.kill(index),
-                Fault::Stop => world.stop(index, true),
+                Fault::Stop => world.set_suspended(index, true),
                 Fault::Cut => world.cut(index, true),
             }
             self.last.insert((until, index), fault);
@@ -94,7 +94,7 @@
 fn end(world: &mut impl Breakable, index: usize, fault: Fault) {
     match fault {
         Fault::Kill => world.start(index),
-        Fault::Stop => world.stop(index, false),
+        Fault::Stop => world.set_suspended(index, false),
         Fault::Cut => world.cut(index, false),
     }
 }
--- a/lab/src/scale/members.rs
+++ b/lab/src/scale/members.rs
@@ -106,11 +106,11 @@
         self.machine.next_timeout().into_iter().chain([self.demand]).min()
     }
 
-    fn datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
+    fn on_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
         self.handle(now, FleetInput::Datagram(bytes, from))
     }
 
-    fn timer(&mut self, now: Timestamp) -> Outgoing {
+    fn on_timer(&mut self, now: Timestamp) -> Outgoing {
         if self.demand > now {
             return self.handle(now, FleetInput::Timer);
         }
@@ -175,8 +175,8 @@
         self.network.start(place(index), member);
     }
 
-    fn stop(&mut self, index: usize, stopped: bool) {
-        self.network.stop(place(index), stopped);
+    fn set_suspended(&mut self, index: usize, stopped: bool) {
+        self.network.set_suspended(place(index), stopped);
     }
 
     fn cut(&mut self, index: usize, cut: bool) {
@@ -281,7 +281,7 @@
     /// One member has news of a worker.
     fn tell(&mut self, worker: u64, told: &mut BTreeMap<u64, Timestamp>) {
         told.insert(worker, self.now());
-        self.network.act(place(worker as usize % self.plan.members()), |member, now| {
+        self.network.with_process(place(worker as usize % self.plan.members()), |member, now| {
             member.handle(now, FleetInput::Observed(GossipTopic::Worker(worker), GossipUpdate::Answers(true)))
         });
     }
--- a/lab/tests/processes.rs
+++ b/lab/tests/processes.rs
@@ -1,6 +1,6 @@
 //! Fleets in virtual time, through faults that seeds draw: the verdict is the same on every run.
 
-use lab::processes::{Plan, play};
+use lab::processes::{Plan, simulate};
 use mintgate::Duration;
 
 /// Crashes, pauses, cuts, losses, delays, repeats: never two holders of a lease, fences rise, and once all is well
@@ -12,7 +12,7 @@
     let seven = Plan { processes: 7, electors: 7, faults: 3.0, ..Plan::default() };
     for (plan, seeds) in [(five, 0..300), (nine, 300..400), (seven, 400..450)] {
         for seed in seeds {
-            let report = play(&plan, seed);
+            let report = simulate(&plan, seed);
             assert!(report.broken.is_empty(), "seed {seed}: {:?}", report.broken);
             assert!(report.unheld.is_empty(), "seed {seed}: {:?}", report.unheld);
             assert_eq!(report.known, plan.processes - 1, "seed {seed}");
@@ -25,7 +25,9 @@
 #[test]
 fn clocks_out_of_their_bound_are_found() {
     let plan = Plan { drift: 3.0, ..Plan::default() };
-    assert!((470..500).any(|seed| play(&plan, seed).broken.iter().any(|rule| rule.contains("two holders"))));
+    assert!(
+        (470..500).any(|seed| simulate(&plan, seed).broken.iter().any(|rule| rule.contains("two holders")))
+    );
 }
 
 /// What one process sends a second does not grow with the fleet.
@@ -33,7 +35,7 @@
 fn a_large_fleet_costs_each_process_no_more() {
     let calm = |processes| {
         let plan = Plan { processes, faults: 0.0, length: Duration::millis(20_000), ..Plan::default() };
-        let report = play(&plan, 3);
+        let report = simulate(&plan, 3);
         assert_eq!(report.known, processes - 1);
         (report.datagrams.1, report.bytes.1)
     };
--- a/src/fleet/distribution/tests/commit.rs
+++ b/src/fleet/distribution/tests/commit.rs
@@ -229,7 +229,7 @@
         [(publisher, accepted), (publisher, overtaken), (publisher, page.clone()), (child, page)]
     {
         let messages = [message];
-        domain.net.act(at, |host, now| {
+        domain.net.with_process(at, |host, now| {
             host.handle(now, DistributionInput::Received { from: stranger, messages: &messages })
         });
     }
--- a/src/fleet/distribution/tests/mod.rs
+++ b/src/fleet/distribution/tests/mod.rs
@@ -104,12 +104,12 @@
         self.node.next_timeout().map(|due| lab::network::Timestamp(due.0))
     }
 
-    fn datagram(&mut self, now: lab::network::Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
+    fn on_datagram(&mut self, now: lab::network::Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
         let Ok((_, messages)) = read(FLEET_ID, bytes) else { return vec![] };
         self.handle(now, DistributionInput::Received { from, messages: &messages })
     }
 
-    fn timer(&mut self, now: lab::network::Timestamp) -> Outgoing {
+    fn on_timer(&mut self, now: lab::network::Timestamp) -> Outgoing {
         self.handle(now, DistributionInput::Timer)
     }
 }
@@ -186,7 +186,7 @@
     }
 
     fn lease(&mut self, at: SocketAddr, grant: Option<LeaseGrant>) {
-        self.net.act(at, |host, now| host.handle(now, DistributionInput::Lease(grant)));
+        self.net.with_process(at, |host, now| host.handle(now, DistributionInput::Lease(grant)));
     }
 
     /// Grants a replica the lease for this time, under a higher fence than all before.
@@ -201,7 +201,8 @@
     fn publish(&mut self, at: SocketAddr, changes: Vec<Change>) -> u64 {
         self.ticket += 1;
         let ticket = self.ticket;
-        self.net.act(at, |host, now| host.handle(now, DistributionInput::Publish { ticket, changes }));
+        self.net
+            .with_process(at, |host, now| host.handle(now, DistributionInput::Publish { ticket, changes }));
         ticket
     }
 
--- a/src/fleet/distribution/tests/parents.rs
+++ b/src/fleet/distribution/tests/parents.rs
@@ -108,7 +108,7 @@
     domain.start(slow);
     domain.run_ms(50);
     assert_eq!(domain.version(slow), Version::default(), "its snapshot is under way");
-    domain.net.stop(slow, true);
+    domain.net.set_suspended(slow, true);
     for round in 0..10 {
         domain.publish(publisher, vec![worker(round, 0, 7)]);
         domain.run_ms(20);
@@ -119,7 +119,7 @@
     }
     let children: usize = domain.relays.iter().map(|at| domain.status(*at).children).sum();
     assert_eq!(children, 29, "the stopped child is removed");
-    domain.net.stop(slow, false);
+    domain.net.set_suspended(slow, false);
     domain.run_ms(5 * SECOND_MS);
     domain.assert_converged(publisher);
     domain.assert_outputs_match_records(slow);
--- a/src/fleet/distribution/tests/tree.rs
+++ b/src/fleet/distribution/tests/tree.rs
@@ -64,7 +64,7 @@
     let mut domain = small_domain();
     let publisher = domain.replicas[0];
     for _ in 0..10 {
-        domain.net.act(publisher, |host, now| {
+        domain.net.with_process(publisher, |host, now| {
             host.node.confirm_source(Timestamp(now.0));
             vec![]
         });
@@ -77,7 +77,7 @@
     assert!(ages(&domain).iter().all(|age| *age < Duration::millis(2_000)), "{:?}", ages(&domain));
     domain.run_ms(8_000);
     assert!(ages(&domain).iter().all(|age| *age > Duration::millis(7_000)), "{:?}", ages(&domain));
-    domain.net.act(publisher, |host, now| {
+    domain.net.with_process(publisher, |host, now| {
         host.node.confirm_source(Timestamp(now.0));
         vec![]
     });
@@ -217,8 +217,8 @@
         let mut domain = Domain::new(seed, 3, 2, interests);
         let bad = Link {
             loss: 0.15,
-            repeat: 0.1,
-            spoil: 0.05,
+            duplicate: 0.1,
+            corrupt: 0.05,
             jitter: lab::network::Duration::millis(30),
             ..Link::default()
         };
--- a/src/fleet/distribution/tests/wire.rs
+++ b/src/fleet/distribution/tests/wire.rs
@@ -153,7 +153,7 @@
             let at = domain.all()[at];
             let from = if trusted { domain.all()[(ms % 4) as usize] } else { address(100 + ms as usize) };
             let messages = [message];
-            domain.net.act(at, |host, now| host.handle(now, DistributionInput::Received { from, messages: &messages }));
+            domain.net.with_process(at, |host, now| host.handle(now, DistributionInput::Received { from, messages: &messages }));
             domain.run_ms(ms * ms);
         }
         if !trusted {
--- a/tests/distribution/content.rs
+++ b/tests/distribution/content.rs
@@ -6,7 +6,7 @@
 
 /// An invalid change: a worker of weight 0.
 fn invalid_change(domain: &mut Domain, worker: u64) -> Change {
-    let good = domain.touch_worker(worker);
+    let good = domain.modify_worker(worker);
     let Some(Value::Worker(record)) = good.value else { unreachable!("a worker's change") };
     worker_change(worker, WorkerRecord { weight_milli: 0, ..record })
 }
@@ -16,7 +16,7 @@
     for seed in SEEDS {
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         let before = domain.ledger().head();
-        let good = [domain.touch_worker(1), domain.touch_worker(2)];
+        let good = [domain.modify_worker(1), domain.modify_worker(2)];
         let wrong = invalid_change(&mut domain, 3);
         let batch = vec![good[0].clone(), wrong, good[1].clone()];
         assert!(
@@ -40,11 +40,11 @@
 #[test]
 fn each_scheduler_refuses_a_version_with_an_invalid_change() {
     for seed in SEEDS {
-        let lax = vec![Role::Replica, Role::Relay];
-        let mut domain = filled_domain(Plan { zones: 2, lax, seed, ..Plan::default() });
-        let good = [domain.touch_worker(2), domain.touch_worker(4)];
+        let unchecked_roles = vec![Role::Replica, Role::Relay];
+        let mut domain = filled_domain(Plan { zones: 2, unchecked_roles, seed, ..Plan::default() });
+        let good = [domain.modify_worker(2), domain.modify_worker(4)];
         let wrong = invalid_change(&mut domain, 6);
-        let elsewhere = domain.touch_worker(1);
+        let elsewhere = domain.modify_worker(1);
         let before = versions(&domain);
         let version =
             publish_committed(&mut domain, vec![good[0].clone(), wrong, good[1].clone(), elsewhere.clone()]);
@@ -70,13 +70,13 @@
             assert!(status.refused.is_some_and(|refused| refused.version == version), "seed {seed}: {at}");
         }
         // A valid change of another record does not resolve the refusal; a valid version of the invalid record does.
-        let other = domain.touch_worker(8);
+        let other = domain.modify_worker(8);
         publish_committed(&mut domain, vec![other]);
         domain.run(seconds(2));
         assert!(!domain.all_have_head(), "seed {seed}: the invalid change was installed");
         let [_, _, load] = domain.measure(seconds(10));
         assert!(load.bytes_max < 15_000.0, "seed {seed}: a refused version is requested too often: {load:?}");
-        let corrected = domain.touch_worker(6);
+        let corrected = domain.modify_worker(6);
         publish_committed(&mut domain, vec![corrected.clone()]);
         assert_converges(&mut domain, seconds(5));
         for index in (0..40).step_by(2) {
@@ -92,10 +92,10 @@
 #[test]
 fn a_scheduler_never_receives_the_records_of_another_zone() {
     for seed in SEEDS {
-        let plan = Plan { zones: 5, zones_each: 2, workers: 500, seed, ..Plan::default() };
+        let plan = Plan { zones: 5, zones_per_subscriber: 2, workers: 500, seed, ..Plan::default() };
         let mut domain = filled_domain(plan);
         // A worker moves from zone 0 to zone 1: it is removed there and set here, in one batch.
-        let Some(Value::Worker(record)) = domain.touch_worker(10).value else {
+        let Some(Value::Worker(record)) = domain.modify_worker(10).value else {
             unreachable!("a worker's change")
         };
         let gone = Change { topic: topic(0), key: Key::Worker(10), value: None };
--- a/tests/distribution/days.rs
+++ b/tests/distribution/days.rs
@@ -62,20 +62,20 @@
             2 if role != Role::Replica || self.may_lose(index) => self.domain.start(role, index),
             3 => {
                 let (role, index) = if any.0 == Role::Replica { (role, index) } else { any };
-                self.domain.stop(role, index, true);
+                self.domain.set_suspended(role, index, true);
                 self.schedule_recovery(Recovery::Continue(role, index));
             }
             4 => {
                 let share = self.rng.random_range(0.1..0.6);
                 let side = all.into_iter().filter(|_| self.rng.random_bool(share)).collect();
-                self.domain.cut(&[side]);
+                self.domain.partition(&[side]);
                 self.schedule_recovery(Recovery::Heal);
             }
             5 => {
                 let link = Link {
                     loss: self.rng.random_range(0.0..0.5),
-                    repeat: 0.2,
-                    spoil: 0.05,
+                    duplicate: 0.2,
+                    corrupt: 0.05,
                     jitter: Duration::millis(self.rng.random_range(1..1_000)),
                     ..Link::default()
                 };
@@ -92,8 +92,8 @@
                 // A suspended clock or a failed lease service: a former holder still believes that it has the lease.
                 let Some(fence) = self.domain.fence_of(replica) else { return };
                 let until = self.domain.now() + Duration::millis(20_000);
-                self.domain.believe(replica, Some(LeaseGrant { fence, until }));
-                let change = self.domain.touch(1);
+                self.domain.notify_lease(replica, Some(LeaseGrant { fence, until }));
+                let change = self.domain.modify_workers(1);
                 self.domain.publish_at(replica, change);
                 self.schedule_recovery(Recovery::DropLease(replica));
             }
@@ -106,11 +106,11 @@
                 self.domain.start(role, index);
             }
             Recovery::Start(..) => {}
-            Recovery::Continue(role, index) => self.domain.stop(role, index, false),
-            Recovery::Heal => self.domain.heal(),
+            Recovery::Continue(role, index) => self.domain.set_suspended(role, index, false),
+            Recovery::Heal => self.domain.restore_links(),
             Recovery::DropLease(replica) => {
                 if self.domain.holder() != Some(replica) {
-                    self.domain.believe(replica, None);
+                    self.domain.notify_lease(replica, None);
                 }
             }
         }
@@ -132,7 +132,7 @@
                 self.inject_fault();
             }
             let count = self.rng.random_range(1..5);
-            let mut changes = self.domain.touch(count);
+            let mut changes = self.domain.modify_workers(count);
             if self.rng.random_bool(0.1) {
                 let worker = self.rng.random_range(0..self.domain.plan().workers as u64);
                 changes.extend(self.domain.remove_worker(worker));
@@ -144,7 +144,7 @@
         for (_, recovery) in std::mem::take(&mut self.recoveries) {
             self.recover(recovery);
         }
-        self.domain.heal();
+        self.domain.restore_links();
     }
 }
 
@@ -153,7 +153,7 @@
 fn publish_after_last_fault(domain: &mut Domain) -> Option<Result<Version, PublishError>> {
     let limit = domain.now() + Duration(2 * domain.plan().term.0);
     loop {
-        let change = domain.touch(1);
+        let change = domain.modify_workers(1);
         let outcome = domain.publish_now(change);
         if outcome != Some(Err(PublishError::NotPublisher)) || domain.now() >= limit {
             return outcome;
@@ -179,7 +179,7 @@
 fn run_seed(seed: u64, plan: Plan) {
     let mut domain = Domain::new(Plan { seed, ..plan });
     domain.run(Duration::millis(1_000));
-    domain.fill().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+    domain.publish_all().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
     let mut fault_run =
         FaultRun { domain, rng: SmallRng::seed_from_u64(seed), recoveries: vec![], faults: 0 };
     fault_run.run();
@@ -197,7 +197,7 @@
         fault_run.domain.ledger().head(),
         lagging_processes(&fault_run.domain)
     );
-    assert_eq!(fault_run.domain.ledger().eras(), 1, "seed {seed}: the state of the majority was lost");
+    assert_eq!(fault_run.domain.ledger().histories(), 1, "seed {seed}: the state of the majority was lost");
     assert!(fault_run.faults > 30, "seed {seed}: {} faults", fault_run.faults);
 }
 
--- a/tests/distribution/failures.rs
+++ b/tests/distribution/failures.rs
@@ -25,7 +25,7 @@
             .collect();
         assert!(interrupted.len() >= 3, "seed {seed}: {} children were in mid-snapshot", interrupted.len());
         domain.kill(Role::Relay, 0);
-        let change = domain.touch(1);
+        let change = domain.modify_workers(1);
         publish_committed(&mut domain, change);
         assert_converges(&mut domain, seconds(60));
         let install_count =
@@ -38,7 +38,7 @@
 fn children_keep_their_state_while_all_control_processes_are_down_and_restart_empty() {
     for seed in SEEDS {
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
-        let change = domain.touch(3);
+        let change = domain.modify_workers(3);
         publish_committed(&mut domain, change);
         assert_converges(&mut domain, seconds(5));
         let before = versions(&domain);
@@ -64,10 +64,10 @@
             domain.running(Role::Subscriber).map(|(_, process)| process.changes()).collect()
         };
         let counted = changes(&domain);
-        let moved = domain.touch_worker(5);
-        domain.fill().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        let moved = domain.modify_worker(5);
+        domain.publish_all().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         assert_converges(&mut domain, seconds(60));
-        assert_eq!(domain.ledger().eras(), 2, "seed {seed}");
+        assert_eq!(domain.ledger().histories(), 2, "seed {seed}");
         for (index, (now, before)) in changes(&domain).into_iter().zip(counted).enumerate() {
             // Only the difference is installed, although the complete list was sent.
             let wanted = u64::from(domain.interest(index).covers(moved.topic));
@@ -82,29 +82,29 @@
 fn a_batch_of_a_publisher_in_the_minority_is_never_committed() {
     for seed in SEEDS {
         let mut domain = filled_domain(Plan { replicas: 5, seed, ..Plan::default() });
-        domain.look_after_lease(false);
+        domain.set_lease_managed(false);
         let old = domain.holder().unwrap();
         let (companion, new) = ((old + 1) % 5, (old + 2) % 5);
         let fence = domain.fence();
         // The lease service has failed: both replicas believe that they hold the lease until the end of the test.
-        domain.believe(old, Some(LeaseGrant { fence, until: domain.now() + seconds(3_600) }));
+        domain.notify_lease(old, Some(LeaseGrant { fence, until: domain.now() + seconds(3_600) }));
         let mut side = vec![(Role::Replica, old), (Role::Replica, companion)];
         side.extend(all_of(Role::Relay, 0..2));
         side.extend(all_of(Role::Subscriber, 0..20));
-        domain.cut(&[side]);
-        let lost = domain.touch_worker(1);
+        domain.partition(&[side]);
+        let lost = domain.modify_worker(1);
         let refused = domain.publish_at(old, vec![lost.clone()]);
         domain.run(seconds(3));
         domain.grant(new, seconds(3_600));
-        let committed = domain.touch_worker(1);
+        let committed = domain.modify_worker(1);
         let ticket = domain.publish_at(new, vec![committed.clone()]);
         domain.run(seconds(10));
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
         assert!(!matches!(domain.outcome(refused), Some(Ok(_))), "seed {seed}");
         assert!(!any_process_has(&domain, &lost), "seed {seed}");
-        domain.heal();
+        domain.restore_links();
         // The old publisher keeps trying.
-        let late = domain.touch_worker(2);
+        let late = domain.modify_worker(2);
         let late_ticket = domain.publish_at(old, vec![late.clone()]);
         domain.run(seconds(10));
         for ticket in [refused, late_ticket] {
@@ -115,7 +115,7 @@
             );
         }
         assert!(!any_process_has(&domain, &lost) && !any_process_has(&domain, &late), "seed {seed}");
-        let next = domain.touch_worker(3);
+        let next = domain.modify_worker(3);
         let ticket = domain.publish_at(new, vec![next]);
         domain.run(seconds(2));
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
@@ -128,13 +128,13 @@
 fn of_two_publishers_that_reach_the_same_replica_only_the_later_one_commits() {
     for seed in SEEDS {
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
-        domain.look_after_lease(false);
+        domain.set_lease_managed(false);
         let old = domain.holder().unwrap();
         let new = (old + 1) % 3;
         let fence = domain.fence();
         // Both believe that they hold the lease, and cannot reach each other: only the third replica can reject one of
         // them.
-        domain.believe(old, Some(LeaseGrant { fence, until: domain.now() + seconds(3_600) }));
+        domain.notify_lease(old, Some(LeaseGrant { fence, until: domain.now() + seconds(3_600) }));
         let (one, other) = (domain.address(Role::Replica, old), domain.address(Role::Replica, new));
         let cut = Link { cut: true, ..Link::default() };
         domain.set_link(one, other, cut);
@@ -143,7 +143,7 @@
         domain.run(Duration::millis(5));
         let (mut refused, mut committed) = (vec![], vec![]);
         for round in 0..40 {
-            let (wrong, right) = (domain.touch_worker(2 * round), domain.touch_worker(2 * round));
+            let (wrong, right) = (domain.modify_worker(2 * round), domain.modify_worker(2 * round));
             if round % 2 == 0 {
                 refused.push((domain.publish_at(old, vec![wrong.clone()]), wrong));
                 domain.run(Duration(100_000 * (round % 7)));
@@ -170,7 +170,7 @@
                 domain.outcome(ticket)
             );
         }
-        domain.heal();
+        domain.restore_links();
         assert_converges(&mut domain, seconds(10));
     }
 }
@@ -179,26 +179,26 @@
 fn a_batch_accepted_by_a_majority_is_committed_though_its_publisher_was_suspended() {
     for seed in SEEDS {
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
-        domain.look_after_lease(false);
+        domain.set_lease_managed(false);
         let old = domain.holder().unwrap();
         let new = (old + 1) % 3;
-        let open = domain.touch_worker(1);
+        let open = domain.modify_worker(1);
         let ticket = domain.publish_at(old, vec![open.clone()]);
         // The other two replicas accept the batch, but the publisher does not know yet.
-        domain.stop(Role::Replica, old, true);
+        domain.set_suspended(Role::Replica, old, true);
         domain.run(seconds(3));
         assert_eq!(domain.outcome(ticket), None, "seed {seed}");
         domain.grant(new, seconds(3_600));
-        let next = domain.touch_worker(2);
+        let next = domain.modify_worker(2);
         let next_ticket = domain.publish_at(new, vec![next.clone()]);
         domain.run(seconds(5));
         assert!(matches!(domain.outcome(next_ticket), Some(Ok(_))), "seed {seed}");
         for change in [&open, &next] {
             assert!(has_record(&domain, Role::Replica, new, change), "seed {seed}: {change:?} was accepted");
         }
-        domain.stop(Role::Replica, old, false);
+        domain.set_suspended(Role::Replica, old, false);
         domain.run(seconds(1));
-        domain.believe(old, None);
+        domain.notify_lease(old, None);
         assert_converges(&mut domain, seconds(10));
         assert!(domain.outcome(ticket).is_some(), "seed {seed}: the old publisher never reported an outcome");
     }
@@ -208,27 +208,27 @@
 fn acknowledged_changes_survive_a_replica_without_state_and_a_lagging_one() {
     for seed in SEEDS {
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
-        domain.look_after_lease(false);
+        domain.set_lease_managed(false);
         let old = domain.holder().unwrap();
         let (accepting, lagging) = ((old + 1) % 3, (old + 2) % 3);
         domain.grant(old, seconds(3));
         // One replica does not receive a change that the other two commit.
         domain.set_links_of(Role::Replica, lagging, Link { cut: true, ..Link::default() });
-        let change = domain.touch_worker(1);
+        let change = domain.modify_worker(1);
         publish_committed(&mut domain, vec![change.clone()]);
         // Then one of these two restarts without state, and the lagging one becomes the publisher, while the third one,
         // which has all changes and is alive, is slow to reply.
         domain.start(Role::Replica, accepting);
-        domain.heal();
+        domain.restore_links();
         let slow = Link { delay: Duration::millis(400), ..Link::default() };
         domain.set_links_of(Role::Replica, old, slow);
         domain.run(seconds(3));
-        domain.believe(old, None);
+        domain.notify_lease(old, None);
         domain.grant(lagging, seconds(3_600));
-        let next = domain.touch_worker(2);
+        let next = domain.modify_worker(2);
         let ticket = domain.publish_at(lagging, vec![next]);
         domain.run(seconds(10));
-        domain.heal();
+        domain.restore_links();
         assert!(matches!(domain.outcome(ticket), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(ticket));
         assert_converges(&mut domain, seconds(10));
         assert!(
@@ -242,32 +242,32 @@
 fn a_lagging_publisher_waits_for_the_majority_that_is_alive() {
     for seed in SEEDS {
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
-        domain.look_after_lease(false);
+        domain.set_lease_managed(false);
         let old = domain.holder().unwrap();
         let (accepting, lagging) = ((old + 1) % 3, (old + 2) % 3);
         domain.grant(old, seconds(3));
         let cut = Link { cut: true, ..Link::default() };
         domain.set_links_of(Role::Replica, lagging, cut);
-        let change = domain.touch_worker(1);
+        let change = domain.modify_worker(1);
         publish_committed(&mut domain, vec![change.clone()]);
         // As in the previous test, but the replica that has all changes is unreachable for half a minute. It is alive,
         // and so is the lagging one: together they are the majority without which nothing may be committed.
         domain.start(Role::Replica, accepting);
-        domain.heal();
+        domain.restore_links();
         domain.set_links_of(Role::Replica, old, cut);
         domain.run(seconds(3));
-        domain.believe(old, None);
+        domain.notify_lease(old, None);
         domain.grant(lagging, seconds(3_600));
-        let next = domain.touch_worker(2);
+        let next = domain.modify_worker(2);
         let ticket = domain.publish_at(lagging, vec![next]);
         domain.run(seconds(30));
         assert!(
             !matches!(domain.outcome(ticket), Some(Ok(_))),
             "seed {seed}: published by a lagging replica"
         );
-        domain.heal();
+        domain.restore_links();
         domain.run(seconds(5));
-        let again = domain.touch_worker(3);
+        let again = domain.modify_worker(3);
         let again = domain.publish_at(lagging, vec![again]);
         domain.run(seconds(5));
         assert!(matches!(domain.outcome(again), Some(Ok(_))), "seed {seed}: {:?}", domain.outcome(again));
@@ -295,26 +295,26 @@
         };
         let side: Vec<(Role, usize)> = domain.all().into_iter().filter(in_region_one).collect();
         let subscriber = side.iter().find(|(role, _)| *role == Role::Subscriber).unwrap().1;
-        domain.cut(std::slice::from_ref(&side));
+        domain.partition(std::slice::from_ref(&side));
         domain.run(seconds(5));
         let fence = domain.fence();
         let mut refused = vec![];
         for round in 0..12 {
-            let mut changes = domain.touch(2);
+            let mut changes = domain.modify_workers(2);
             changes.extend(domain.remove_worker(900 + round));
             let asked = domain.now();
             let version = publish_committed(&mut domain, changes);
-            let minority = domain.touch_worker(round);
+            let minority = domain.modify_worker(round);
             // The replica in the minority tries to publish, both when it knows that it is no publisher and when it
             // believes that it is one.
             if round % 4 == 1 {
-                domain.believe(1, Some(LeaseGrant { fence, until: domain.now() + seconds(100) }));
+                domain.notify_lease(1, Some(LeaseGrant { fence, until: domain.now() + seconds(100) }));
             }
             refused.push((domain.publish_at(1, vec![minority.clone()]), minority));
             domain.run(seconds(100));
-            domain.believe(1, None);
+            domain.notify_lease(1, None);
             domain.run(seconds(200));
-            let progress = domain.reach(asked, version, |at, _| {
+            let progress = domain.propagation(asked, version, |at, _| {
                 side.iter().all(|(role, index)| domain.address(*role, *index) != at)
             });
             assert!(progress.missing == 0 && progress.last < seconds(6), "seed {seed}: {progress:?}");
@@ -323,7 +323,7 @@
         let age = cut_off.node().status(domain.now()).age;
         assert!(age.is_some_and(|age| age > seconds(3_500)), "seed {seed}: the age shown is {age:?}");
         let pages = cut_off.pages();
-        domain.heal();
+        domain.restore_links();
         assert_converges(&mut domain, seconds(10));
         for (ticket, change) in refused {
             assert!(
@@ -345,17 +345,17 @@
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         for (loss, jitter, rounds) in [(0.1, 200, 150), (0.4, 50, 100), (0.05, 1_500, 100)] {
             let jitter = Duration::millis(jitter);
-            domain.set_all_links(Link { loss, repeat: 0.2, spoil: 0.05, jitter, ..Link::default() });
+            domain.set_all_links(Link { loss, duplicate: 0.2, corrupt: 0.05, jitter, ..Link::default() });
             for _ in 0..rounds {
-                let changes = domain.touch(2);
+                let changes = domain.modify_workers(2);
                 domain.publish(changes);
                 domain.run(Duration::millis(200));
             }
         }
-        domain.heal();
+        domain.restore_links();
         assert_converges(&mut domain, seconds(15));
         // Each publication was committed, or reported as failed.
-        let answered = (1..).map_while(|ticket| domain.ledger().asked(ticket).cloned());
+        let answered = (1..).map_while(|ticket| domain.ledger().publication(ticket).cloned());
         let (some, none): (Vec<_>, Vec<_>) = answered.partition(|asked| asked.outcome.is_some());
         assert!(none.is_empty(), "seed {seed}: {} publications have no outcome", none.len());
         let committed = some.iter().filter(|asked| matches!(asked.outcome, Some((_, Ok(_))))).count();
@@ -373,14 +373,14 @@
         let mut domain = filled_domain(Plan { seed, ..Plan::default() });
         let publisher = domain.holder().unwrap();
         for (role, index) in [(Role::Subscriber, 4), (Role::Relay, 1), (Role::Replica, publisher)] {
-            domain.stop(role, index, true);
+            domain.set_suspended(role, index, true);
             let mut asked = vec![];
             for _ in 0..20 {
-                let changes = domain.touch(2);
+                let changes = domain.modify_workers(2);
                 asked.push(domain.publish(changes));
                 domain.run(Duration::millis(500));
             }
-            domain.stop(role, index, false);
+            domain.set_suspended(role, index, false);
             assert_converges(&mut domain, seconds(5));
             let committed: Vec<u64> =
                 asked.into_iter().filter(|ticket| matches!(domain.outcome(*ticket), Some(Ok(_)))).collect();
@@ -389,9 +389,9 @@
             if role == Role::Subscriber {
                 let stopped = domain.address(role, index);
                 for ticket in committed {
-                    let asked = domain.ledger().asked(ticket).cloned().unwrap();
+                    let asked = domain.ledger().publication(ticket).cloned().unwrap();
                     let Some((_, Ok(version))) = asked.outcome else { continue };
-                    let reach = domain.reach(asked.at, version, |at, _| at != stopped);
+                    let reach = domain.propagation(asked.at, version, |at, _| at != stopped);
                     assert!(reach.missing == 0 && reach.last < ONE_SECOND, "seed {seed}: {reach:?}");
                 }
             }
--- a/tests/distribution/load.rs
+++ b/tests/distribution/load.rs
@@ -33,13 +33,13 @@
         };
         let mut domain = filled_domain(plan);
         domain.run(seconds(2));
-        domain.forget_peaks();
+        domain.reset_peaks();
         for index in (0..300).step_by(3) {
             domain.start(Role::Subscriber, index);
         }
         let asked = domain.now();
         domain.run(Duration::millis(700));
-        let change = domain.touch(4);
+        let change = domain.modify_workers(4);
         let since = domain.now();
         let version = publish_committed(&mut domain, change);
         assert!(!domain.all_have_head(), "seed {seed}: the catch-up was over too soon to test anything");
@@ -47,9 +47,9 @@
         assert_peaks_below(&domain, peak_limit(&domain, 300));
         let restarted =
             |at: SocketAddr| (0..300).step_by(3).any(|n| domain.address(Role::Subscriber, n) == at);
-        let others = domain.reach(since, version, |at, _| !restarted(at));
+        let others = domain.propagation(since, version, |at, _| !restarted(at));
         assert!(others.missing == 0 && others.last < ONE_SECOND, "seed {seed}: {others:?}");
-        let all = domain.reach(asked, version, |_, _| true);
+        let all = domain.propagation(asked, version, |_, _| true);
         assert!(all.missing == 0 && all.last < seconds(20), "seed {seed}: {all:?}");
     }
 }
@@ -70,14 +70,14 @@
             domain.kill(Role::Subscriber, index);
         }
         domain.run(seconds(10));
-        domain.forget_peaks();
+        domain.reset_peaks();
         for index in 0..900 {
             domain.start(Role::Subscriber, index);
         }
         let since = domain.now();
         assert_converges(&mut domain, seconds(60));
         let head = domain.ledger().head();
-        let reach = domain.reach(since, head, |_, _| true);
+        let reach = domain.propagation(since, head, |_, _| true);
         assert!(reach.of == 900 && reach.missing == 0 && reach.last < seconds(30), "seed {seed}: {reach:?}");
         assert_peaks_below(&domain, peak_limit(&domain, 900));
         // The complete list is sent once; hardly any page is sent again.
@@ -101,11 +101,11 @@
         // A zone of the size designed for: 46,000 workers in 20 zones.
         let plan = Plan { replicas: 5, subscribers: 100, workers: 4_600, zones: 2, seed, ..Plan::default() };
         let mut domain = filled_domain(plan);
-        let changes: Vec<Change> = (0..4_600).step_by(2).map(|worker| domain.touch_worker(worker)).collect();
+        let changes: Vec<Change> = (0..4_600).step_by(2).map(|worker| domain.modify_worker(worker)).collect();
         let ticket = domain.publish(changes);
         domain.run(seconds(10));
-        let reach = domain.reach_of(ticket);
-        let in_time = |reach: &lab::domain::Reach| reach.missing == 0 && reach.last < seconds(6);
+        let reach = domain.propagation_of(ticket);
+        let in_time = |reach: &lab::domain::Propagation| reach.missing == 0 && reach.last < seconds(6);
         assert!(reach.as_ref().is_some_and(in_time), "seed {seed}: {reach:?}");
         assert_converges(&mut domain, seconds(5));
     }
@@ -120,7 +120,7 @@
         let mut longest = 0.0_f64;
         for _ in 0..60 {
             for _ in 0..8 {
-                let change = domain.touch(1);
+                let change = domain.modify_workers(1);
                 tickets.push(domain.publish(change));
                 domain.run(Duration::millis(128 - seed % 5));
             }
@@ -131,8 +131,8 @@
         assert!(calm.bytes_max < 2_000.0, "seed {seed}: {calm:?}");
         assert_converges(&mut domain, seconds(5));
         for ticket in tickets {
-            let reach = domain.reach_of(ticket);
-            let in_time = |reach: &lab::domain::Reach| {
+            let reach = domain.propagation_of(ticket);
+            let in_time = |reach: &lab::domain::Propagation| {
                 reach.missing == 0 && reach.percentile_99 < ONE_SECOND && reach.last < seconds(6)
             };
             assert!(reach.as_ref().is_some_and(in_time), "seed {seed}: {reach:?}");
@@ -148,25 +148,25 @@
     let slow = domain.address(Role::Subscriber, 7);
     let relays: Vec<SocketAddr> = (0..4).map(|index| domain.address(Role::Relay, index)).collect();
     for relay in &relays {
-        domain.watch(*relay, slow);
+        domain.watch_link(*relay, slow);
     }
     impair(&mut domain);
     let mut asked: Vec<(Timestamp, Version)> = vec![];
     for _ in 0..30 {
-        let changes = domain.touch(25);
+        let changes = domain.modify_workers(25);
         asked.push((domain.now(), publish_committed(&mut domain, changes)));
         domain.run(Duration::millis(500));
     }
-    let bytes = relays.iter().map(|relay| domain.ledger().counted(*relay, slow).1).sum();
+    let bytes = relays.iter().map(|relay| domain.ledger().link_traffic(*relay, slow).1).sum();
     domain.run(seconds(2));
     let last = |(since, version): &(Timestamp, Version)| {
-        let reach = domain.reach(*since, *version, |at, _| at != slow);
+        let reach = domain.propagation(*since, *version, |at, _| at != slow);
         assert_eq!(reach.missing, 0, "seed {seed}");
         reach.last
     };
     let spans = asked.iter().map(last).collect();
-    domain.heal();
-    domain.stop(Role::Subscriber, 7, false);
+    domain.restore_links();
+    domain.set_suspended(Role::Subscriber, 7, false);
     assert_converges(&mut domain, seconds(20));
     (spans, bytes)
 }
@@ -177,7 +177,7 @@
         let (calm, usual) = run_with_impaired_reader(seed, |_| {});
         let longest = |spans: &[Duration]| spans.iter().copied().max().unwrap_or_default();
         assert!(longest(&calm) < Duration::millis(100), "seed {seed}: {calm:?}");
-        let stopped = |domain: &mut Domain| domain.stop(Role::Subscriber, 7, true);
+        let stopped = |domain: &mut Domain| domain.set_suspended(Role::Subscriber, 7, true);
         let late = |domain: &mut Domain| {
             let link = Link { delay: Duration::millis(1_000), loss: 0.3, ..Link::default() };
             domain.set_links_of(Role::Subscriber, 7, link);
@@ -215,12 +215,12 @@
         let plan = Plan { replicas: 3, relays: 5, subscribers: 300, workers: 1_000, seed, ..Plan::default() };
         let mut domain = filled_domain(plan);
         let publisher = domain.holder().unwrap();
-        let change = domain.touch(1);
+        let change = domain.modify_workers(1);
         let before = domain.publish(change);
         domain.run(Duration(200_000));
         domain.kill(Role::Relay, seed as usize % 5);
         domain.run(seconds(5));
-        let change = domain.touch(1);
+        let change = domain.modify_workers(1);
         domain.kill(Role::Replica, publisher);
         let while_electing = domain.publish(change.clone());
         domain.run_until(Duration::millis(10), seconds(10), |domain| {
@@ -234,7 +234,7 @@
             "seed {seed}: a dead publisher reported a commit"
         );
         for ticket in [before, again] {
-            let reach = domain.reach_of(ticket);
+            let reach = domain.propagation_of(ticket);
             assert!(
                 reach.as_ref().is_some_and(|reach| reach.missing == 0 && reach.last < seconds(6)),
                 "seed {seed}: {reach:?}"
@@ -243,7 +243,7 @@
         // While both processes are dead, changes meet the normal target.
         let tickets: Vec<u64> = (0..40)
             .map(|_| {
-                let change = domain.touch(1);
+                let change = domain.modify_workers(1);
                 let ticket = domain.publish(change);
                 domain.run(Duration::millis(700));
                 ticket
@@ -251,8 +251,8 @@
             .collect();
         domain.run(seconds(6));
         for ticket in tickets {
-            let reach = domain.reach_of(ticket);
-            let in_time = |reach: &lab::domain::Reach| {
+            let reach = domain.propagation_of(ticket);
+            let in_time = |reach: &lab::domain::Propagation| {
                 reach.missing == 0 && reach.percentile_99 < ONE_SECOND && reach.last < seconds(6)
             };
             assert!(reach.as_ref().is_some_and(in_time), "seed {seed}: {reach:?}");
--- a/tests/distribution/main.rs
+++ b/tests/distribution/main.rs
@@ -31,7 +31,7 @@
     let seed = plan.seed;
     let mut domain = Domain::new(plan);
     domain.run(ONE_SECOND);
-    domain.fill().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+    domain.publish_all().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
     assert!(domain.settle(seconds(60)), "seed {seed}: the first list is not installed everywhere");
     domain
 }
