--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The laboratory: plays what the scheduler decides, in virtual time and with real processes, and reports.
+//! The lab's command line: runs the scheduler's decisions in virtual time and with real processes, and reports the
+//! results.
 #![allow(clippy::needless_pass_by_value, reason = "subcommands own their options")]
 
 use clap::{Parser, Subcommand};
@@ -18,108 +19,110 @@
 #[command(about = "Plays what mintgate decides, in virtual time and with real processes, and reports")]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    what: LabCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Real schedulers with stand-ins for all that is round them, while links and processes fail; fails where a
-    /// rule is broken.
+enum LabCommand {
+    /// Runs a scenario with real schedulers and stand-ins for everything around them, while links and processes fail;
+    /// fails if a rule is violated.
     Rehearse {
-        /// A play that comes with it, or a file; without one a short day of three schedulers with one crash.
+        /// A built-in scenario or a file; by default a short day of three schedulers with one crash.
         name: Option<String>,
-        /// Decides all that is drawn.
+        /// Seed of all random decisions.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds, from that one on.
+        /// Number of seeds, counted from the first one.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Plays without `[fleet]`, to compare.
+        /// Runs without `[fleet]`, for comparison.
         #[arg(long)]
         alone: bool,
-        /// Plays without agreeing on what is shed, to compare.
+        /// Runs without agreed load shedding, for comparison.
         #[arg(long)]
         unshed: bool,
-        /// Where the figures go as JSON, a line for each seed.
+        /// File for the results as JSON, one line per seed.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Where the plot of the last seed goes, as an SVG.
+        /// File for the plot of the last seed, as an SVG.
         #[arg(long, value_name = "FILE")]
         plot: Option<PathBuf>,
-        /// Where the logs of the schedulers go.
+        /// Folder for the schedulers' logs.
         #[arg(long, value_name = "FOLDER")]
         logs: Option<PathBuf>,
-        /// The program that runs schedulers, as `FILE scheduler ...`, to play versions together; without it this one.
+        /// The program that runs schedulers, as `FILE scheduler ...`, for tests across versions; by default this
+        /// program.
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
-        /// Lists the plays.
+        /// Lists the built-in scenarios.
         #[arg(long)]
         list: bool,
     },
     /// Writes the tables of `docs/CAPACITY.md` from targets, assumptions and recorded runs.
     Capacity {
-        /// Writes nothing, and fails where page and data differ.
+        /// Writes nothing, and fails if the page differs from the data.
         #[arg(long)]
         check: bool,
-        /// The repository.
+        /// The repository's root.
         #[arg(long, value_name = "FOLDER", default_value = ".")]
         root: PathBuf,
     },
-    /// Chains under one deadline, against the same steps as separate calls and against estimates without loads.
+    /// Compares chains under one deadline with the same steps as separate calls, and with estimates that ignore
+    /// loads.
     Chains {
-        /// Chains to play at each load.
+        /// Number of chains at each rate.
         #[arg(long, default_value_t = 3000)]
         chains: usize,
-        /// Decides all that is drawn.
+        /// Seed of all random decisions.
         #[arg(long, default_value_t = 7)]
         seed: u64,
-        /// Chains a second, one table row each.
+        /// Chains per second, one table row each.
         #[arg(long, value_delimiter = ',', default_values_t = [5.0, 15.0, 25.0])]
         rates: Vec<f64>,
     },
-    /// Processes of a fleet in virtual time, through faults that seeds draw; fails where a rule is broken.
+    /// Runs processes of a fleet in virtual time with faults drawn from seeds; fails if a rule is violated.
     Processes {
-        /// Processes of the fleet.
+        /// Number of processes in the fleet.
         #[arg(long, default_value_t = 5)]
         processes: usize,
-        /// Those of them that grant leases.
+        /// Number of processes that grant leases.
         #[arg(long, default_value_t = 3)]
         electors: usize,
-        /// Faults a second.
+        /// Faults per second.
         #[arg(long, default_value_t = 0.5)]
         faults: f64,
         /// Seconds with faults.
         #[arg(long, default_value_t = 60)]
         seconds: u64,
-        /// Seconds of calm after them.
+        /// Seconds without faults after them.
         #[arg(long, default_value_t = 20)]
         calm: u64,
         /// The first seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 100)]
         seeds: u64,
-        /// Clocks that are off by so many times what processes are told.
+        /// Clock drift, as a multiple of the drift that the processes are configured for.
         #[arg(long, default_value_t = 1.0)]
         drift: f64,
     },
-    /// What control costs each process, by the number of schedulers, workers, functions, changes and regions: hollow
-    /// processes in virtual time, and real ones on loopback.
+    /// Measures the control traffic and work of each process by the number of schedulers, workers, functions, changes
+    /// and regions: with hollow processes in virtual time and real ones on loopback.
     Scale(scale::Options),
-    /// One part of a scale run; its plan comes in as JSON.
+    /// Runs one part of a scale run; its plan is read as JSON.
     #[command(hide = true)]
     ScalePart {
-        /// Which part.
+        /// The part.
         part: scale::Part,
     },
-    /// Real schedulers while troubles of all kinds are drawn from seeds, two or three at a time; fails where a rule is
-    /// broken.
+    /// Runs real schedulers while faults of all kinds are drawn from seeds, two or three at a time; fails if a rule
+    /// is violated.
     Soak(soak::Options),
-    /// One scheduler of a rehearsal.
+    /// Runs one scheduler of a rehearsal.
     #[command(hide = true)]
     Scheduler {
-        /// Writes what becomes of each call too.
+        /// Also logs the progress of each call.
         #[arg(long)]
         trace: bool,
         /// The operator's file.
@@ -129,33 +132,33 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().what {
-        What::Processes { processes, electors, faults, seconds, calm, seed, seeds, drift } => {
+    let result = match Arguments::parse().what {
+        LabCommand::Processes { processes, electors, faults, seconds, calm, seed, seeds, drift } => {
             let (length, calm) = (Duration::millis(seconds * 1_000), Duration::millis(calm * 1_000));
             let plan = Plan { processes, electors, faults, length, calm, drift, ..Plan::default() };
             return processes::report(&plan, seed..seed + seeds);
         }
-        What::Capacity { check, root } => capacity::run(&root, check).map(|()| true),
-        What::Chains { chains, seed, rates } => {
+        LabCommand::Capacity { check, root } => capacity::run(&root, check).map(|()| true),
+        LabCommand::Chains { chains, seed, rates } => {
             print!("{}", chains::report(chains, seed, &rates));
             Ok(true)
         }
-        What::Rehearse { list: true, .. } => list(),
-        What::Rehearse { name, seed, seeds, alone, unshed, json, plot, logs, program, .. } => {
-            // Who names nothing wants to see what it is like.
-            let sight = std::env::temp_dir().join("mintgate-short-day.svg");
-            let plot = plot.or(name.is_none().then_some(sight));
+        LabCommand::Rehearse { list: true, .. } => list(),
+        LabCommand::Rehearse { name, seed, seeds, alone, unshed, json, plot, logs, program, .. } => {
+            // Without a scenario's name, the default one is run and plotted as a demonstration.
+            let demo_plot = std::env::temp_dir().join("mintgate-short-day.svg");
+            let plot = plot.or(name.is_none().then_some(demo_plot));
             let name = name.unwrap_or_else(|| "short-day".to_owned());
             rehearse(&name, seed..seed + seeds, (alone, unshed), json, plot, logs, program)
         }
-        What::Soak(options) => std::env::current_exe()
-            .map_err(|e| format!("cannot find this program: {e}"))
+        LabCommand::Soak(options) => std::env::current_exe()
+            .map_err(|e| format!("cannot determine the path of this program: {e}"))
             .and_then(|program| soak::run(&options, &program)),
-        What::Scale(options) => scale::run(&options).map(|()| true),
-        What::ScalePart { part } => scale::run_part(part).map(|()| true),
-        What::Scheduler { trace, operator } => serve(operator, trace).map(|()| true),
+        LabCommand::Scale(options) => scale::run(&options).map(|()| true),
+        LabCommand::ScalePart { part } => scale::run_part(part).map(|()| true),
+        LabCommand::Scheduler { trace, operator } => serve(operator, trace).map(|()| true),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
@@ -186,12 +189,12 @@
     scenario.shed &= !unshed;
     let program = program
         .map_or_else(std::env::current_exe, Ok)
-        .map_err(|e| format!("cannot find this program: {e}"))?;
-    let (mut well, mut lines) = (true, String::new());
+        .map_err(|e| format!("cannot determine the path of this program: {e}"))?;
+    let (mut success, mut lines) = (true, String::new());
     for seed in seeds {
         let options = Options { program: program.clone(), seed, progress: true, logs: logs.clone() };
-        let report = environment::play(name, scenario.clone(), options)?;
-        well &= report.broken.is_empty();
+        let report = environment::run_scenario(name, scenario.clone(), options)?;
+        success &= report.broken.is_empty();
         println!("{}", report.table());
         lines.push_str(&serde_json::to_string(&report).map_err(|e| e.to_string())?);
         lines.push('\n');
@@ -203,7 +206,7 @@
     if let Some(path) = json {
         std::fs::write(&path, lines).map_err(|e| format!("cannot write {}: {e}", path.display()))?;
     }
-    Ok(well)
+    Ok(success)
 }
 
 fn serve(operator: PathBuf, trace: bool) -> Result<(), String> {
--- a/lab/src/rig/environment/absence/tests.rs
+++ b/lab/src/rig/environment/absence/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 fn absence(away: &[(Moment, Option<Moment>)], stopped: &[(Moment, Option<Moment>)]) -> Absence {
-    Absence { away: vec![away.to_vec()], stopped: vec![stopped.to_vec()], stalled: 0 }
+    Absence { absent: vec![away.to_vec()], stopped: vec![stopped.to_vec()], last_stall: 0 }
 }
 
-/// A scheduler that was stopped for a while owes what came then as soon as it runs again.
+/// A scheduler that was stopped has to process what arrived meanwhile as soon as it runs again.
 #[test]
-fn a_stop_excuses_only_for_as_long_as_it_lasts() {
+fn a_stop_is_an_excuse_only_while_it_lasts() {
     let absence = absence(&[], &[(10, Some(20))]);
     assert!(absence.is_unable(0, 5, 15));
     assert!(absence.is_unable(0, 5, 20));
     assert!(!absence.is_unable(0, 5, 21));
     assert!(!absence.was_gone(0, 5, 21));
-    assert!(absence.was_away(0, 5, 21), "what must not happen too late may have been held up by it");
+    assert!(absence.was_away(0, 5, 21), "the stop may have delayed what must not happen too late");
 }
 
 #[test]
-fn a_kill_excuses_all_that_was_open_then() {
+fn a_kill_excuses_all_calls_open_then() {
     let absence = absence(&[(10, None)], &[]);
     assert!(absence.is_away(0));
     assert!(absence.was_gone(0, 5, 30));
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_rig_that_came_late_judges_nothing_of_that_time() {
-    let absence = Absence { stalled: 7, ..absence(&[], &[]) };
+fn nothing_is_checked_from_before_a_stall_of_the_rig() {
+    let absence = Absence { last_stall: 7, ..absence(&[], &[]) };
     assert!(absence.is_unable(0, 5, 9));
     assert!(!absence.is_unable(0, 8, 9));
 }
--- a/lab/src/rig/environment/faults.rs
+++ b/lab/src/rig/environment/faults.rs
@@ -1,90 +1,94 @@
-//! Faults as they come and go, whom they hit, and the condition that all of them make together.
+//! Begins and ends faults, selects their targets, and computes the resulting condition of the links.
 
 use super::*;
 
 impl Environment {
-    pub(super) fn begin_fault(&mut self, drawn: Drawn) -> std::io::Result<()> {
-        let whom = self.whom(&drawn);
+    pub(super) fn begin_fault(&mut self, drawn: ScheduledFault) -> std::io::Result<()> {
+        let targets = self.targets(&drawn);
         let fault = &drawn.fault;
-        let text = format!("{:?} {:?} {whom:?}", fault.what, fault.who).to_lowercase();
+        let text = format!("{:?} {:?} {targets:?}", fault.what, fault.who).to_lowercase();
         self.faults.push(format!("{:.2} s: {text} for {} s", self.now as f64 / SECOND as f64, fault.lasts));
-        self.say(text);
+        self.report_progress(text);
         let what = fault.what;
-        for n in &whom {
+        for n in &targets {
             let n = *n;
             match what {
-                What::Kill => {
-                    // Sooner than SIGKILL may come after SIGTERM, where that was sent.
+                FaultKind::Kill => {
+                    // This SIGKILL may follow a SIGTERM too early, which excuses calls on persistent connections.
                     self.clients.persistent.remove(&n);
-                    self.leave(n, NOTICE.0);
+                    self.mark_gone(n, CLIENT_NOTICE_DELAYS.0);
                     self.schedulers[n].processes.clear();
                 }
-                What::Stop => {
-                    self.end_holds(n);
-                    self.shunned[n].get_or_insert(self.now + NOTICE.0);
+                FaultKind::Stop => {
+                    self.record_ended_holds(n);
+                    self.avoided_since[n].get_or_insert(self.now + CLIENT_NOTICE_DELAYS.0);
                     self.absence.stopped[n].push((self.now, None));
                     for process in &mut self.schedulers[n].processes {
                         process.stopped = true;
                         process.signal("STOP");
                     }
                 }
-                What::Term => {
-                    self.shunned[n].get_or_insert(self.now + NOTICE.1);
-                    self.end_holds(n);
+                FaultKind::Term => {
+                    self.avoided_since[n].get_or_insert(self.now + CLIENT_NOTICE_DELAYS.1);
+                    self.record_ended_holds(n);
                     for process in &mut self.schedulers[n].processes {
                         process.ending = true;
                         process.signal("TERM");
                     }
                 }
-                What::TermKill => self.end_in_series(n),
-                What::Upgrade => {
-                    self.end_holds(n);
+                FaultKind::TermKill => self.begin_terminate_then_kill(n),
+                FaultKind::Upgrade => {
+                    self.record_ended_holds(n);
                     self.upgrading.insert(n);
                     self.start(n)?;
                 }
-                What::Reset => self.pipes.retain(|pipe| pipe.scheduler != n),
-                What::WorkerDies => self.worker_dies(n),
-                What::WorkerDrains => {
+                FaultKind::Reset => self.connections.retain(|connection| connection.scheduler != n),
+                FaultKind::WorkerDies => self.kill_worker(n),
+                FaultKind::WorkerDrains => {
                     self.workers[n].process.draining = Some(self.now);
-                    self.tell(n, 1);
+                    self.publish_worker_state(n, 1);
                 }
-                What::StoreSlow => self.store.slow = fault.much.max(1.0),
-                What::Crowd => self.clients.rate = self.scenario.calls * fault.much.max(0.0),
-                What::Reload => self.reload(n)?,
-                What::Hang => self.workers[n].process.hangs = true,
-                What::Hasty => drop(self.troubles.hasty.insert(n)),
-                What::WallClock | What::SystemCalls => self.begin_inside(n, &drawn)?,
-                What::Folder => {
-                    self.begin_inside(n, &drawn)?;
-                    // A process writes to it when it has read a new configuration.
+                FaultKind::StoreSlow => self.store.slowdown = fault.much.max(1.0),
+                FaultKind::Crowd => self.clients.rate = self.scenario.calls * fault.much.max(0.0),
+                FaultKind::Reload => self.reload(n)?,
+                FaultKind::Hang => self.workers[n].process.is_hung = true,
+                FaultKind::Hasty => drop(self.internal_faults.hasty.insert(n)),
+                FaultKind::WallClock | FaultKind::SystemCalls => self.begin_internal(n, &drawn)?,
+                FaultKind::Folder => {
+                    self.begin_internal(n, &drawn)?;
+                    // The process writes to the folder after reading a new configuration.
                     self.reload(n)?;
                 }
-                What::BusSilent => drop(self.troubles.bus_silent.insert(n)),
-                What::BusCloses => drop(self.troubles.bus_closes.insert(n)),
-                What::Spoilt => drop(self.troubles.spoilt.insert(n)),
-                What::Cut | What::Loss | What::Delay | What::Repeat | What::WorkerCut => {}
+                FaultKind::BusSilent => drop(self.internal_faults.bus_silent.insert(n)),
+                FaultKind::BusCloses => drop(self.internal_faults.bus_closes.insert(n)),
+                FaultKind::Spoilt => drop(self.internal_faults.corrupting.insert(n)),
+                FaultKind::Cut
+                | FaultKind::Loss
+                | FaultKind::Delay
+                | FaultKind::Repeat
+                | FaultKind::WorkerCut => {}
             }
         }
-        self.troubles.came(what, &whom);
-        self.active.push((drawn, whom));
-        self.forecast();
+        self.internal_faults.record_begin(what, &targets);
+        self.active_faults.push((drawn, targets));
+        self.recompute_link_conditions();
         Ok(())
     }
 
     pub(super) fn end_faults(&mut self, all: bool) -> std::io::Result<()> {
         let now = self.now;
-        let over: Vec<(Drawn, Vec<usize>)> =
-            self.active.extract_if(.., |(drawn, _)| all || drawn.until <= now).collect();
-        for (drawn, whom) in &over {
-            self.say(format!("{:?} over", drawn.fault.what).to_lowercase());
-            for n in whom {
+        let over: Vec<(ScheduledFault, Vec<usize>)> =
+            self.active_faults.extract_if(.., |(drawn, _)| all || drawn.until <= now).collect();
+        for (drawn, targets) in &over {
+            self.report_progress(format!("{:?} over", drawn.fault.what).to_lowercase());
+            for n in targets {
                 match drawn.fault.what {
-                    What::Kill | What::Term | What::TermKill
+                    FaultKind::Kill | FaultKind::Term | FaultKind::TermKill
                         if self.schedulers[*n].processes.iter().all(|process| process.ending) =>
                     {
                         self.start(*n)?;
                     }
-                    What::Stop => {
+                    FaultKind::Stop => {
                         for (_, until) in &mut self.absence.stopped[*n] {
                             until.get_or_insert(now + SECOND);
                         }
@@ -93,101 +97,106 @@
                             process.signal("CONT");
                         }
                         if !self.absence.is_away(*n) {
-                            self.shunned[*n] = None;
+                            self.avoided_since[*n] = None;
                         }
                     }
-                    What::WorkerDies => self.worker_returns(*n, false)?,
-                    What::WorkerDrains => self.worker_returns(*n, true)?,
-                    What::StoreSlow => self.store.slow = 1.0,
-                    What::Hang => self.workers[*n].process.hangs = false,
-                    What::WallClock | What::SystemCalls | What::Folder => self.end_inside(*n, drawn)?,
-                    What::BusSilent => drop(self.troubles.bus_silent.remove(n)),
-                    What::BusCloses => drop(self.troubles.bus_closes.remove(n)),
-                    What::Spoilt => drop(self.troubles.spoilt.remove(n)),
-                    What::Hasty => drop(self.troubles.hasty.remove(n)),
-                    What::Crowd => self.clients.rate = self.scenario.calls,
+                    FaultKind::WorkerDies => self.restart_worker(*n, false)?,
+                    FaultKind::WorkerDrains => self.restart_worker(*n, true)?,
+                    FaultKind::StoreSlow => self.store.slowdown = 1.0,
+                    FaultKind::Hang => self.workers[*n].process.is_hung = false,
+                    FaultKind::WallClock | FaultKind::SystemCalls | FaultKind::Folder => {
+                        self.end_internal(*n, drawn)?;
+                    }
+                    FaultKind::BusSilent => drop(self.internal_faults.bus_silent.remove(n)),
+                    FaultKind::BusCloses => drop(self.internal_faults.bus_closes.remove(n)),
+                    FaultKind::Spoilt => drop(self.internal_faults.corrupting.remove(n)),
+                    FaultKind::Hasty => drop(self.internal_faults.hasty.remove(n)),
+                    FaultKind::Crowd => self.clients.rate = self.scenario.calls,
                     _ => {}
                 }
             }
-            self.troubles.ended(drawn.fault.what);
+            self.internal_faults.record_end(drawn.fault.what);
         }
         if !over.is_empty() {
-            self.forecast();
+            self.recompute_link_conditions();
         }
         Ok(())
     }
 
-    /// Who is hit. What is not drawn from the seed alone depends on who holds the first task.
-    fn whom(&self, drawn: &Drawn) -> Vec<usize> {
+    /// The indexes of the fault's targets. They depend on the seed, and for some on the current holder of the first
+    /// task.
+    fn targets(&self, drawn: &ScheduledFault) -> Vec<usize> {
         let workers = drawn.fault.what.concerns_workers();
-        if matches!(drawn.fault.what, What::StoreSlow | What::Crowd) {
+        if matches!(drawn.fault.what, FaultKind::StoreSlow | FaultKind::Crowd) {
             return vec![0];
         }
         let count = if workers { self.workers.len() } else { self.schedulers.len() };
         let start = (drawn.draw % count as u64) as usize;
-        let some = |many: usize| (0..many.clamp(1, count)).map(|n| (start + n) % count).collect::<Vec<_>>();
-        let holder = self.holds.iter().next().map(|(_, holder)| *holder).filter(|_| !workers);
+        let consecutive =
+            |many: usize| (0..many.clamp(1, count)).map(|n| (start + n) % count).collect::<Vec<_>>();
+        let holder = self.lease_holders.iter().next().map(|(_, holder)| *holder).filter(|_| !workers);
         match drawn.fault.who {
-            Who::Any => some(1),
-            Who::Two => some(2),
-            Who::Third => some(count / 3),
-            Who::Most => some(count * 7 / 10),
-            Who::All => (0..count).collect(),
-            Who::Holder => vec![holder.unwrap_or(start)],
-            Who::Other => vec![if holder == Some(start) { (start + 1) % count } else { start }],
+            FaultTarget::Any => consecutive(1),
+            FaultTarget::Two => consecutive(2),
+            FaultTarget::Third => consecutive(count / 3),
+            FaultTarget::Most => consecutive(count * 7 / 10),
+            FaultTarget::All => (0..count).collect(),
+            FaultTarget::Holder => vec![holder.unwrap_or(start)],
+            FaultTarget::Other => vec![if holder == Some(start) { (start + 1) % count } else { start }],
         }
     }
 
-    /// The condition that all faults now make together.
-    fn forecast(&mut self) {
+    /// Recomputes the condition of all links from the active faults.
+    fn recompute_link_conditions(&mut self) {
         let (schedulers, workers) = (self.schedulers.len(), self.workers.len());
-        self.peers = vec![vec![LinkCondition::default(); schedulers]; schedulers];
-        self.to_worker = vec![vec![Default::default(); workers]; schedulers];
-        let active = std::mem::take(&mut self.active);
-        let of_links = [What::Cut, What::Loss, What::Delay, What::Repeat, What::WorkerCut];
-        for (drawn, whom) in active.iter().filter(|(drawn, _)| of_links.contains(&drawn.fault.what)) {
+        self.peer_conditions = vec![vec![LinkCondition::default(); schedulers]; schedulers];
+        self.worker_conditions = vec![vec![Default::default(); workers]; schedulers];
+        let active = std::mem::take(&mut self.active_faults);
+        let link_faults =
+            [FaultKind::Cut, FaultKind::Loss, FaultKind::Delay, FaultKind::Repeat, FaultKind::WorkerCut];
+        for (drawn, targets) in active.iter().filter(|(drawn, _)| link_faults.contains(&drawn.fault.what)) {
             let fault = &drawn.fault;
             let worsen = |condition: &mut LinkCondition| match fault.what {
-                What::Cut | What::WorkerCut => condition.cut = true,
-                What::Loss => condition.loss = condition.loss.max(fault.much),
-                What::Repeat => condition.repeat = condition.repeat.max(fault.much),
-                What::Delay => {
-                    condition.delay = condition.delay.max((fault.much * MS as f64) as u64);
+                FaultKind::Cut | FaultKind::WorkerCut => condition.cut = true,
+                FaultKind::Loss => condition.loss = condition.loss.max(fault.much),
+                FaultKind::Repeat => condition.repeat = condition.repeat.max(fault.much),
+                FaultKind::Delay => {
+                    condition.delay = condition.delay.max((fault.much * MILLISECOND as f64) as u64);
                     condition.jitter = condition.delay / 2;
                 }
                 _ => {}
             };
-            let (comes, goes) = (fault.way != Way::Out, fault.way != Way::In);
-            for n in whom {
-                if fault.what == What::WorkerCut {
-                    for row in &mut self.to_worker {
+            let (incoming, outgoing) = (fault.way != Direction::Out, fault.way != Direction::In);
+            for n in targets {
+                if fault.what == FaultKind::WorkerCut {
+                    for row in &mut self.worker_conditions {
                         worsen(&mut row[*n].0);
                         worsen(&mut row[*n].1);
                     }
                     continue;
                 }
-                if fault.links != Links::Workers {
+                if fault.links != LinkSet::Workers {
                     for other in (0..schedulers).filter(|other| other != n) {
-                        if goes {
-                            worsen(&mut self.peers[*n][other]);
+                        if outgoing {
+                            worsen(&mut self.peer_conditions[*n][other]);
                         }
-                        if comes {
-                            worsen(&mut self.peers[other][*n]);
+                        if incoming {
+                            worsen(&mut self.peer_conditions[other][*n]);
                         }
                     }
                 }
-                if fault.links != Links::Peers {
-                    for (to, from) in &mut self.to_worker[*n] {
-                        if goes {
+                if fault.links != LinkSet::Peers {
+                    for (to, from) in &mut self.worker_conditions[*n] {
+                        if outgoing {
                             worsen(to);
                         }
-                        if comes {
+                        if incoming {
                             worsen(from);
                         }
                     }
                 }
             }
         }
-        self.active = active;
+        self.active_faults = active;
     }
 }
--- a/lab/src/rig/link/tests.rs
+++ b/lab/src/rig/link/tests.rs
@@ -2,7 +2,7 @@
 use rand::SeedableRng;
 
 #[test]
-fn a_cut_keeps_what_streams_carry_and_loses_datagrams() {
+fn a_cut_keeps_the_bytes_of_streams_and_loses_datagrams() {
     let mut rng = SmallRng::seed_from_u64(1);
     let (cut, fair) = (LinkCondition { cut: true, ..LinkCondition::default() }, LinkCondition::default());
     let (mut stream, mut datagrams) = (Stream::default(), Datagrams::default());
@@ -14,16 +14,16 @@
 }
 
 #[test]
-fn streams_keep_their_order_and_datagrams_do_not() {
+fn streams_keep_their_order_and_datagrams_are_reordered() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let rough = LinkCondition { jitter: 50 * MS, ..LinkCondition::default() };
+    let rough = LinkCondition { jitter: 50 * MILLISECOND, ..LinkCondition::default() };
     let (mut stream, mut datagrams) = (Stream::default(), Datagrams::default());
     for n in 0..100 {
         stream.put(n, vec![n as u8], &rough, &mut rng);
         datagrams.put(n, &[n as u8], &rough, &mut rng);
     }
-    let all: Vec<u8> = std::iter::from_fn(|| stream.take(100 * MS, &rough)).flatten().collect();
+    let all: Vec<u8> = std::iter::from_fn(|| stream.take(100 * MILLISECOND, &rough)).flatten().collect();
     assert!(all.is_sorted() && all.len() == 100);
-    let all: Vec<u8> = datagrams.take(100 * MS).into_iter().flatten().collect();
+    let all: Vec<u8> = datagrams.take(100 * MILLISECOND).into_iter().flatten().collect();
     assert!(!all.is_sorted() && all.len() == 100);
 }
--- a/lab/src/rig/mod.rs
+++ b/lab/src/rig/mod.rs
@@ -1,7 +1,7 @@
-//! The rig: real schedulers of one fleet, with stand-ins for everything round them and a relay on every link.
+//! The rig: real schedulers of one fleet, with stand-ins for everything around them and a relay on every link.
 //!
-//! One thread turns all sockets in rounds, so that what two schedulers wrote can be told apart in time without
-//! trusting how threads run: whatever a round reads came after the round before it had found that socket empty.
+//! One thread serves all sockets in rounds, so the order of what two schedulers wrote can be determined without
+//! relying on thread scheduling: whatever a round reads arrived after the previous round had found that socket empty.
 
 pub mod audit;
 pub mod client;
@@ -16,7 +16,7 @@
 /// Nanoseconds since the rig started.
 pub type Moment = u64;
 
-/// One millisecond.
-pub const MS: u64 = 1_000_000;
-/// One second.
-pub const SECOND: u64 = 1_000 * MS;
+/// One millisecond, as a [`Moment`].
+pub const MILLISECOND: u64 = 1_000_000;
+/// One second, as a [`Moment`].
+pub const SECOND: u64 = 1_000 * MILLISECOND;
--- a/lab/src/rig/process.rs
+++ b/lab/src/rig/process.rs
@@ -1,4 +1,4 @@
-//! Real schedulers: started, stopped, killed, and listened to.
+//! Scheduler processes: starts them, sends them signals, and reads their logs.
 
 use crate::faults::Faults;
 use serde_json::Value;
@@ -9,40 +9,40 @@
 use std::sync::mpsc::Sender;
 use std::thread;
 
-/// A line of a process's log: of which scheduler, of which of its processes, and the text.
-pub type Logged = (usize, u32, String);
+/// A line of a process's log: the scheduler's index, the number of its process, and the text.
+pub type LogLine = (usize, u32, String);
 
-/// One process.
+/// One process of a scheduler; killed when dropped.
 pub struct Process {
     child: Child,
-    /// Which of its scheduler's processes, from 0.
+    /// Position among its scheduler's processes, from 0 in the order of their start.
     pub number: u32,
-    /// It is ready for clients.
-    pub serves: bool,
+    /// Whether it accepts clients.
+    pub is_serving: bool,
     /// SIGSTOP was sent, and no SIGCONT since.
     pub stopped: bool,
     /// SIGTERM was sent.
     pub ending: bool,
-    /// When SIGKILL follows, if it is up still.
+    /// When SIGKILL is sent if the process is still running.
     pub kill_at: Option<u64>,
 }
 
 impl Process {
-    /// Sends it a signal.
+    /// Sends the signal of this name, for example `TERM`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
     }
 
-    /// Processor time that it has taken, in hundredths of a second, as Linux counts it.
-    pub fn ticks(&self) -> u64 {
+    /// Processor time used so far, in Linux clock ticks (hundredths of a second).
+    pub fn cpu_ticks(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let after = text.rsplit_once(") ").map_or("", |(_, after)| after);
         let field = |n: usize| after.split(' ').nth(n).and_then(|word| word.parse::<u64>().ok()).unwrap_or(0);
         field(11) + field(12)
     }
 
-    /// Whether it has ended, and whether that went well.
-    pub fn ended(&mut self) -> Option<bool> {
+    /// Whether the process exited successfully; `None` while it runs.
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 }
@@ -54,23 +54,23 @@
     }
 }
 
-/// One scheduler: its door, which outlives its processes, and those.
+/// One scheduler: its listening socket, which outlives its processes, and the processes.
 pub struct Scheduler {
     index: usize,
     folder: PathBuf,
     program: PathBuf,
     listener: TcpListener,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub at: SocketAddr,
-    /// The youngest comes last.
+    /// Its processes, the most recently started last.
     pub processes: Vec<Process>,
-    started: u32,
-    /// Makes its system calls fail; none where it is not to meet that.
+    started_count: u32,
+    /// Injects failures of system calls; `None` if this scenario has none.
     pub faults: Option<Faults>,
 }
 
 impl Scheduler {
-    /// One whose files are in a folder of its own, and which is not started yet.
+    /// Creates a scheduler with its files in a folder of its own, and starts no process yet.
     pub fn new(
         index: usize,
         folder: &Path,
@@ -87,13 +87,13 @@
         std::fs::write(folder.join("operator.toml"), operator)?;
         let faults = if faulty { Some(Faults::new(&folder.join("faults"))?) } else { None };
         let (program, processes) = (program.to_owned(), vec![]);
-        Ok(Scheduler { index, folder, program, listener, at, processes, started: 0, faults })
+        Ok(Scheduler { index, folder, program, listener, at, processes, started_count: 0, faults })
     }
 
-    /// Starts a process, as the platform does: the door is passed to it.
-    pub fn start(&mut self, log: &Sender<Logged>) -> std::io::Result<()> {
-        let (index, number) = (self.index, self.started);
-        self.started += 1;
+    /// Starts a process and passes it the listening socket, as the platform does.
+    pub fn start(&mut self, log: &Sender<LogLine>) -> std::io::Result<()> {
+        let (index, number) = (self.index, self.started_count);
+        self.started_count += 1;
         let mut command = Command::new(&self.program);
         command.args(["scheduler", "--operator"]).arg(self.folder.join("operator.toml"));
         command.env("GW_CONFIG", self.folder.join("config.json")).env("GW_NAME", format!("n{index}"));
@@ -108,7 +108,7 @@
         self.processes.push(Process {
             child,
             number,
-            serves: false,
+            is_serving: false,
             stopped: false,
             ending: false,
             kill_at: None,
@@ -123,13 +123,13 @@
         Ok(())
     }
 
-    /// Where its configuration stands.
-    pub fn configuration(&self) -> PathBuf {
+    /// Path of its configuration file.
+    pub fn config_path(&self) -> PathBuf {
         self.folder.join("config.json")
     }
 
-    /// The process that clients reach.
+    /// The most recently started process that accepts clients.
     pub fn serving(&self) -> Option<&Process> {
-        self.processes.iter().rfind(|process| process.serves)
+        self.processes.iter().rfind(|process| process.is_serving)
     }
 }
--- a/lab/src/rig/scenario.rs
+++ b/lab/src/rig/scenario.rs
@@ -1,69 +1,69 @@
-//! What is played: TOML files, with what is left open drawn from a seed.
+//! Scenarios: TOML files; what they leave open is drawn from a seed.
 
 use super::worker::Kind;
-use super::{MS, Moment};
+use super::{MILLISECOND, Moment};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-/// A play, as its file says.
+/// A scenario as its file describes it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it shows.
+    /// What the scenario shows.
     pub about: String,
-    /// Schedulers.
+    /// Number of schedulers.
     #[serde(default = "three")]
     pub schedulers: usize,
-    /// Workers.
+    /// Number of workers.
     #[serde(default = "twelve", rename = "run_boxes")]
     pub workers: usize,
-    /// Seconds with calls.
+    /// Length of the run with calls, in seconds.
     #[serde(default = "twenty")]
     pub seconds: f64,
-    /// Calls a second, over all clients.
+    /// Calls per second, over all clients.
     #[serde(default = "hundred")]
     pub calls: f64,
-    /// Functions that are called, the first far more often than the last.
+    /// Number of functions that are called, with a Zipf distribution of popularity.
     #[serde(default = "forty")]
     pub functions: usize,
-    /// The schedulers are one fleet.
+    /// Whether the schedulers form one fleet.
     #[serde(default = "yes")]
     pub fleet: bool,
-    /// System calls of the schedulers can be made to fail, and their wall clocks stepped.
+    /// Whether system calls of the schedulers can be made to fail, and their wall clocks stepped.
     #[serde(default)]
     pub faulty: bool,
-    /// The part of the calls that must not run twice, whatever happens.
+    /// Fraction of the calls that must not run twice under any circumstances.
     #[serde(default)]
     pub fragile: f64,
-    /// They agree on what is shed under overload.
+    /// Whether the fleet agrees on load shedding under overload.
     #[serde(default)]
     pub shed: bool,
-    /// How long clients wait, and the deadline of all classes.
+    /// How long clients wait, and the deadline of all classes, in milliseconds.
     #[serde(default = "allow")]
     pub allow_ms: u64,
-    /// For how long a worker may be sent something new after its drain is known.
+    /// How long a worker may still be sent new requests after its drain is known, in milliseconds.
     #[serde(default = "grace")]
     pub grace_ms: u64,
-    /// How often clients call again at once when they are refused.
+    /// How often clients retry at once a call that is refused.
     #[serde(default)]
     pub repeats: u32,
-    /// Those of them that grant leases.
+    /// Number of schedulers that grant leases.
     #[serde(default = "three")]
     pub electors: usize,
-    /// For how long leases are granted.
+    /// Duration of leases, in milliseconds.
     #[serde(default = "term")]
     pub term_ms: u64,
-    /// How long a datagram may take, as schedulers are told.
+    /// Maximum delay of a datagram that schedulers are configured with, in milliseconds.
     #[serde(default = "delay")]
     pub delay_ms: u64,
     /// Parts of each task.
     #[serde(default = "two")]
     pub parts: u16,
-    /// What workers are like.
+    /// Parameters of the workers.
     #[serde(default, rename = "run_box")]
     pub worker: Kind,
-    /// What goes wrong.
+    /// The faults.
     #[serde(default)]
     pub fault: Vec<Fault>,
 }
@@ -102,36 +102,36 @@
     20
 }
 
-/// Something that goes wrong, and is mended after a while.
+/// A fault, which begins once or repeatedly and is removed after a while.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, in seconds.
+    /// When it begins, in seconds.
     pub at: f64,
-    /// It may come later than that, by so many seconds at most.
+    /// Maximum random delay after that, in seconds.
     #[serde(default)]
     pub spread: f64,
-    /// For how long.
+    /// Its duration, in seconds.
     #[serde(default = "one")]
     pub lasts: f64,
-    /// How often, one after another.
+    /// How often it begins.
     #[serde(default = "once")]
     pub times: u32,
-    /// Time from one to the next.
+    /// Seconds from one beginning to the next.
     #[serde(default = "one")]
     pub every: f64,
-    /// What.
-    pub what: What,
-    /// To whom.
+    /// The kind of fault.
+    pub what: FaultKind,
+    /// What it affects.
     #[serde(default)]
-    pub who: Who,
-    /// On which links.
+    pub who: FaultTarget,
+    /// Which links it affects.
     #[serde(default)]
-    pub links: Links,
-    /// In which direction, as seen by whom it happens to.
+    pub links: LinkSet,
+    /// Which direction it affects, as seen by its targets.
     #[serde(default)]
-    pub way: Way,
-    /// How bad: a part of the datagrams lost, milliseconds of delay, how many times slower.
+    pub way: Direction,
+    /// Its intensity: the fraction of datagrams lost, milliseconds of delay, or a factor of slowdown.
     #[serde(default)]
     pub much: f64,
 }
@@ -144,161 +144,169 @@
     1
 }
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// SIGKILL; started again when it is over.
+pub enum FaultKind {
+    /// SIGKILL; started again at the end.
     Kill,
-    /// SIGSTOP; SIGCONT when it is over.
+    /// SIGSTOP; SIGCONT at the end.
     Stop,
-    /// SIGTERM; started again when it is over.
+    /// SIGTERM; started again at the end.
     Term,
-    /// SIGTERM among other signals, while clients go on using their open connections; SIGKILL as soon as it may come.
+    /// SIGTERM among other signals, while clients keep using their open connections; SIGKILL as early as it is
+    /// allowed.
     TermKill,
-    /// A new process beside the old one, which is sent SIGTERM when the new one serves.
+    /// A new process beside the old one, which is sent SIGTERM once the new one accepts clients.
     Upgrade,
-    /// Nothing passes.
+    /// Nothing passes the links.
     Cut,
-    /// A part of what passes is lost.
+    /// A fraction of the traffic is lost.
     Loss,
-    /// All takes longer, and datagrams overtake each other.
+    /// Everything is delayed, and datagrams are reordered.
     Delay,
-    /// A part of the datagrams comes twice.
+    /// A fraction of the datagrams is delivered twice.
     Repeat,
     /// Connections to workers break.
     Reset,
-    /// Workers die, and start again cold.
+    /// Workers crash, and restart cold at the end.
     #[serde(rename = "box_dies")]
     WorkerDies,
-    /// Workers are cut off from all.
+    /// Workers are disconnected from all schedulers.
     #[serde(rename = "box_cut")]
     WorkerCut,
-    /// Workers drain, and are gone when it is over.
+    /// Workers drain, and leave at the end.
     #[serde(rename = "box_drains")]
     WorkerDrains,
     /// The store is slower.
     StoreSlow,
-    /// So many times the calls come.
+    /// The rate of calls is multiplied.
     Crowd,
-    /// SIGHUP with a new configuration, after SIGHUP again and again while the file is half written.
+    /// SIGHUP with a new configuration, after repeated SIGHUPs while the file is half written.
     Reload,
-    /// The wall clock is stepped by so many seconds, and back when it is over.
+    /// The wall clock is stepped by a number of seconds, and back at the end.
     WallClock,
-    /// System calls fail, or move little.
+    /// System calls fail or transfer only one byte.
     SystemCalls,
-    /// The folder takes no writes.
+    /// Writes to the scheduler's folder fail.
     Folder,
-    /// The event bus says nothing.
+    /// Discovery sends nothing.
     BusSilent,
-    /// The event bus closes every connection.
+    /// Discovery closes every connection.
     BusCloses,
-    /// Clients cancel calls, and close connections with calls open.
+    /// Clients cancel calls, and close connections with open calls.
     Hasty,
-    /// Workers answer twice, or with what cannot be read.
+    /// Workers answer twice or with malformed data.
     Spoilt,
-    /// Workers take what comes and answer nothing.
+    /// Workers accept everything and answer nothing.
     Hang,
 }
 
-impl What {
-    /// All of them.
-    pub const ALL: [What; 24] = [
-        What::Kill,
-        What::Stop,
-        What::Term,
-        What::TermKill,
-        What::Upgrade,
-        What::Cut,
-        What::Loss,
-        What::Delay,
-        What::Repeat,
-        What::Reset,
-        What::WorkerDies,
-        What::WorkerCut,
-        What::WorkerDrains,
-        What::StoreSlow,
-        What::Crowd,
-        What::Reload,
-        What::WallClock,
-        What::SystemCalls,
-        What::Folder,
-        What::BusSilent,
-        What::BusCloses,
-        What::Hasty,
-        What::Spoilt,
-        What::Hang,
+impl FaultKind {
+    /// All kinds.
+    pub const ALL: [FaultKind; 24] = [
+        FaultKind::Kill,
+        FaultKind::Stop,
+        FaultKind::Term,
+        FaultKind::TermKill,
+        FaultKind::Upgrade,
+        FaultKind::Cut,
+        FaultKind::Loss,
+        FaultKind::Delay,
+        FaultKind::Repeat,
+        FaultKind::Reset,
+        FaultKind::WorkerDies,
+        FaultKind::WorkerCut,
+        FaultKind::WorkerDrains,
+        FaultKind::StoreSlow,
+        FaultKind::Crowd,
+        FaultKind::Reload,
+        FaultKind::WallClock,
+        FaultKind::SystemCalls,
+        FaultKind::Folder,
+        FaultKind::BusSilent,
+        FaultKind::BusCloses,
+        FaultKind::Hasty,
+        FaultKind::Spoilt,
+        FaultKind::Hang,
     ];
 
-    /// Whether it happens to workers.
+    /// Whether it affects workers instead of schedulers.
     pub fn concerns_workers(self) -> bool {
-        matches!(self, What::WorkerDies | What::WorkerCut | What::WorkerDrains | What::Spoilt | What::Hang)
+        matches!(
+            self,
+            FaultKind::WorkerDies
+                | FaultKind::WorkerCut
+                | FaultKind::WorkerDrains
+                | FaultKind::Spoilt
+                | FaultKind::Hang
+        )
     }
 }
 
-/// To whom it happens.
+/// Which schedulers or workers a fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
-    /// One that the seed draws.
+pub enum FaultTarget {
+    /// One, drawn from the seed.
     #[default]
     Any,
-    /// Who holds the first task then.
+    /// The current holder of the first task.
     Holder,
-    /// One that does not.
+    /// One that doesn't hold the first task.
     Other,
-    /// Two that the seed draws.
+    /// Two, drawn from the seed.
     Two,
     /// A third of them.
     Third,
-    /// Seven in ten.
+    /// Seventy percent of them.
     Most,
     /// All.
     All,
 }
 
-/// Which links.
+/// The links that a fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Links {
-    /// To other schedulers.
+pub enum LinkSet {
+    /// Links to other schedulers.
     #[default]
     Peers,
-    /// To workers.
+    /// Links to workers.
     #[serde(rename = "boxes")]
     Workers,
-    /// All.
+    /// All links.
     Both,
 }
 
-/// In which direction.
+/// The direction that a fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
-    /// Both.
+pub enum Direction {
+    /// Both directions.
     #[default]
     Both,
-    /// What comes to it.
+    /// Traffic to the target.
     In,
-    /// What it sends.
+    /// Traffic from the target.
     Out,
 }
 
-/// A fault with its time drawn, and a number that decides whom it hits.
+/// A fault with its drawn time, and a random number that selects its targets.
 #[derive(Clone, Debug)]
-pub struct Drawn {
+pub struct ScheduledFault {
     /// When it begins.
     pub at: Moment,
-    /// When it is over.
+    /// When it ends.
     pub until: Moment,
-    /// What the file says.
+    /// The fault as the scenario describes it.
     pub fault: Fault,
-    /// Drawn from the seed.
+    /// Random number drawn from the seed.
     pub draw: u64,
 }
 
-/// Plays that come with the rig.
-const KNOWN: [(&str, &str); 18] = [
+/// Built-in scenarios.
+const BUILT_IN_SCENARIOS: [(&str, &str); 18] = [
     ("short-day", include_str!("../../scenarios/short-day.toml")),
     ("holder-killed", include_str!("../../scenarios/holder-killed.toml")),
     ("holder-stopped", include_str!("../../scenarios/holder-stopped.toml")),
@@ -319,15 +327,15 @@
     ("trigger", include_str!("../../scenarios/trigger.toml")),
 ];
 
-/// Names of the plays that come with the rig.
+/// Names of the built-in scenarios.
 pub fn names() -> impl Iterator<Item = &'static str> {
-    KNOWN.iter().map(|(name, _)| *name)
+    BUILT_IN_SCENARIOS.iter().map(|(name, _)| *name)
 }
 
 impl Scenario {
-    /// Reads a play that comes with the rig, or one from a file.
+    /// Loads a built-in scenario, or one from a file.
     pub fn find(name: &str) -> Result<Scenario, String> {
-        let known = KNOWN.iter().find(|(known, _)| *known == name);
+        let known = BUILT_IN_SCENARIOS.iter().find(|(known, _)| *known == name);
         let text = match known {
             Some((_, text)) => (*text).to_owned(),
             None if name.contains('.') => {
@@ -336,7 +344,7 @@
             None => {
                 let names: Vec<&str> = names().collect();
                 return Err(format!(
-                    "no play is called {name}; there are {}, or name a file",
+                    "no scenario is called {name}; there are {}, or give the path of a file",
                     names.join(", ")
                 ));
             }
@@ -346,34 +354,37 @@
         Ok(scenario)
     }
 
-    /// Whether it can be played.
+    /// Checks that the scenario can be run.
     pub fn check(&self) -> Result<(), String> {
         if self.schedulers == 0 || self.workers == 0 || self.functions == 0 {
             return Err("schedulers, run_boxes and functions are not 0".to_owned());
         }
         if self.schedulers > 32 || self.workers > 64 {
-            return Err("32 schedulers and 64 workers are the most".to_owned());
+            return Err("at most 32 schedulers and 64 workers are supported".to_owned());
         }
         if self.fleet && (self.electors > self.schedulers || ![3, 5, 7].contains(&self.electors)) {
-            return Err("electors is 3, 5 or 7, and no more than schedulers".to_owned());
+            return Err("electors must be 3, 5 or 7, and at most the number of schedulers".to_owned());
         }
-        let late = |fault: &Fault| fault.at + fault.spread + f64::from(fault.times - 1) * fault.every;
-        if let Some(fault) = self.fault.iter().find(|fault| fault.times == 0 || late(fault) > self.seconds) {
-            return Err(format!("{:?} never comes, or after the end", fault.what));
+        let last_begin = |fault: &Fault| fault.at + fault.spread + f64::from(fault.times - 1) * fault.every;
+        if let Some(fault) =
+            self.fault.iter().find(|fault| fault.times == 0 || last_begin(fault) > self.seconds)
+        {
+            return Err(format!("{:?} never begins, or begins after the end", fault.what));
         }
         Ok(())
     }
 
-    /// The faults in the order in which they come: the same for the same seed.
-    pub fn draw(&self, rng: &mut SmallRng) -> Vec<Drawn> {
-        let moment = |seconds: f64| (seconds * 1e3) as u64 * MS;
+    /// Draws the times and targets of all faults, in the order in which they begin; the same seed gives the same
+    /// faults.
+    pub fn draw_faults(&self, rng: &mut SmallRng) -> Vec<ScheduledFault> {
+        let moment = |seconds: f64| (seconds * 1e3) as u64 * MILLISECOND;
         let mut all = vec![];
         for fault in &self.fault {
             let spread = if fault.spread > 0.0 { rng.random_range(0.0..fault.spread) } else { 0.0 };
             for n in 0..fault.times {
                 let at = moment(fault.at + spread + f64::from(n) * fault.every);
                 let until = at + moment(fault.lasts);
-                all.push(Drawn { at, until, fault: fault.clone(), draw: rng.random() });
+                all.push(ScheduledFault { at, until, fault: fault.clone(), draw: rng.random() });
             }
         }
         all.sort_by_key(|drawn| drawn.at);
--- a/lab/src/rig/wire.rs
+++ b/lab/src/rig/wire.rs
@@ -1,32 +1,32 @@
-//! A stream that is never waited for, with what has come and what is to go.
+//! A non-blocking stream with read and write buffers.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
-/// See the module's page.
-pub struct Wire {
+/// A TCP stream that never blocks, with its read and write buffers.
+pub struct NonBlockingStream {
     stream: TcpStream,
-    /// What has come and was not used yet.
-    pub inbox: Vec<u8>,
-    /// What is to go.
-    pub outbox: Vec<u8>,
+    /// Bytes received and not yet consumed.
+    pub read_buffer: Vec<u8>,
+    /// Bytes to be written.
+    pub write_buffer: Vec<u8>,
 }
 
-impl Wire {
-    /// Over a connection that stands.
-    pub fn new(stream: TcpStream) -> std::io::Result<Wire> {
+impl NonBlockingStream {
+    /// Wraps a connected stream and makes it non-blocking.
+    pub fn new(stream: TcpStream) -> std::io::Result<NonBlockingStream> {
         stream.set_nonblocking(true)?;
         let _ = stream.set_nodelay(true);
-        let (inbox, outbox) = Default::default();
-        Ok(Wire { stream, inbox, outbox })
+        let (read_buffer, write_buffer) = Default::default();
+        Ok(NonBlockingStream { stream, read_buffer, write_buffer })
     }
 
-    /// Writes what can be written; false once the connection has ended.
+    /// Writes as much as possible without blocking; false once the connection has ended.
     pub fn write(&mut self) -> bool {
-        while !self.outbox.is_empty() {
-            match self.stream.write(&self.outbox) {
+        while !self.write_buffer.is_empty() {
+            match self.stream.write(&self.write_buffer) {
                 Ok(0) => return false,
-                Ok(size) => drop(self.outbox.drain(..size)),
+                Ok(size) => drop(self.write_buffer.drain(..size)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(_) => return false,
             }
@@ -34,13 +34,13 @@
         true
     }
 
-    /// Reads all that has come; false once the connection has ended.
+    /// Reads everything that has arrived; false once the connection has ended.
     pub fn read(&mut self) -> bool {
         let mut bytes = [0; 16_384];
         loop {
             match self.stream.read(&mut bytes) {
                 Ok(0) => return false,
-                Ok(size) => self.inbox.extend(&bytes[..size]),
+                Ok(size) => self.read_buffer.extend(&bytes[..size]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(_) => return false,
             }
--- a/lab/src/rig/worker.rs
+++ b/lab/src/rig/worker.rs
@@ -1,36 +1,36 @@
-//! A stand-in worker: lanes, a queue, memory, loads from one shared store, and a cold start in which it falls
-//! over if it is sent too much. No sockets, no clock.
+//! A stand-in worker: lanes, a queue, memory, loads from one shared store, and a cold start during which it crashes
+//! if it is overloaded. It has no sockets and no clock.
 
-use super::{MS, Moment, SECOND};
+use super::{MILLISECOND, Moment, SECOND};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What workers are like; times in milliseconds.
+/// Parameters of a worker; times in milliseconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Kind {
-    /// Calls that run at a time.
+    /// Calls that run concurrently.
     pub lanes: usize,
-    /// Calls that wait, beyond which one more is told that it is full.
+    /// Calls that may wait in the queue; further calls are answered with 'full'.
     pub queue: usize,
-    /// Copies that it holds.
+    /// Instances that fit into its memory.
     pub copies: usize,
-    /// How long a call runs on average.
+    /// Mean time a call runs.
     pub work_ms: f64,
-    /// How long a load takes, when nobody else loads.
+    /// Time a load takes when the store is idle.
     pub load_ms: u64,
-    /// The part of its pace that it starts with, and how long it takes to the whole.
+    /// Fraction of the full speed at which a cold worker starts.
     pub cold_from: f64,
-    /// See above.
+    /// Time until a cold worker reaches full speed.
     pub cold_ms: u64,
-    /// It falls over if it is sent this multiple of what it can do, while it is cold.
+    /// A cold worker crashes if it is sent more than this multiple of its capacity.
     pub fall_multiple: f64,
-    /// Over such a time.
+    /// Window over which that load is measured.
     pub fall_ms: u64,
-    /// Loads a second that the store gives, to all of them.
+    /// Loads per second that the store supports, over all workers.
     pub store_loads: f64,
 }
 
@@ -51,30 +51,30 @@
     }
 }
 
-/// How long an idle copy stands.
-pub const KEEP: u64 = 8_700 * MS;
+/// How long an idle instance is kept, in nanoseconds.
+pub const INSTANCE_KEEP_ALIVE: u64 = 8_700 * MILLISECOND;
 
-/// Where all workers load from.
+/// The store from which all workers load.
 #[derive(Debug)]
 pub struct Store {
-    /// How many times slower than usual it is.
-    pub slow: f64,
-    /// Loads begun.
+    /// Factor by which loads are slower than usual.
+    pub slowdown: f64,
+    /// Number of loads started.
     pub loads: u64,
-    free: Moment,
+    next_free: Moment,
 }
 
 impl Store {
-    /// One that is idle.
+    /// Creates an idle store.
     pub fn new() -> Store {
-        Store { slow: 1.0, loads: 0, free: 0 }
+        Store { slowdown: 1.0, loads: 0, next_free: 0 }
     }
 
     fn load(&mut self, now: Moment, kind: &Kind) -> Moment {
         self.loads += 1;
-        let start = self.free.max(now);
-        self.free = start + (SECOND as f64 / kind.store_loads * self.slow) as u64;
-        start + (kind.load_ms as f64 * MS as f64 * self.slow) as u64
+        let start = self.next_free.max(now);
+        self.next_free = start + (SECOND as f64 / kind.store_loads * self.slowdown) as u64;
+        start + (kind.load_ms as f64 * MILLISECOND as f64 * self.slowdown) as u64
     }
 }
 
@@ -84,120 +84,123 @@
     }
 }
 
-/// A call at a worker.
+/// A call received by a worker.
 #[derive(Clone, Debug)]
 struct Call {
     connection: u64,
     rid: String,
     function: String,
-    until: Moment,
+    deadline: Moment,
     body: String,
 }
 
-struct Copy {
+struct Instance {
     ready: Moment,
     until: Moment,
 }
 
-/// What it says: on which connection, and the line.
-pub type Said = (u64, String);
+/// A line that the worker sends: the number of the connection, and the text.
+pub type SentLine = (u64, String);
 
-/// See the module's page.
+/// A worker without sockets: it is handed lines and returns the lines it sends.
 pub struct SimulatedWorker {
     kind: Kind,
-    /// When its process started; none for long ago.
+    /// When its process started; `None` if that was long ago.
     pub started: Option<Moment>,
-    /// Whether it is there at all.
+    /// Whether its process is running.
     pub up: bool,
-    /// How many times slower than usual it is.
-    pub slow: f64,
-    /// It takes what comes, and does nothing.
-    pub hangs: bool,
-    /// Since when it drains: it finishes what it has, and takes nothing new.
+    /// Factor by which calls run slower than usual.
+    pub slowdown: f64,
+    /// Whether it accepts everything and does nothing.
+    pub is_hung: bool,
+    /// When it began draining: it finishes what it has and accepts nothing new.
     pub draining: Option<Moment>,
-    copies: BTreeMap<String, Copy>,
+    instances: BTreeMap<String, Instance>,
     waiting: VecDeque<Call>,
     running: Vec<(Moment, Call)>,
     arrivals: VecDeque<Moment>,
-    orders: Vec<(Moment, u64, String)>,
-    /// Calls that came, and how they ended here.
+    loads: Vec<(Moment, u64, String)>,
+    /// Calls received.
     pub calls: u64,
-    /// Told that it is full.
-    pub full: u64,
+    /// Answers 'full' that it gave.
+    pub full_answers: u64,
     /// Probes answered.
     pub probes: u64,
-    /// Times that it fell over.
-    pub fell: u64,
+    /// Times it crashed under overload.
+    pub crashes: u64,
 }
 
 impl SimulatedWorker {
-    /// One that has run for long.
+    /// Creates a worker that has been running for a long time.
     pub fn new(kind: Kind) -> SimulatedWorker {
         SimulatedWorker {
             kind,
             started: None,
             up: true,
-            slow: 1.0,
-            hangs: false,
+            slowdown: 1.0,
+            is_hung: false,
             draining: None,
-            copies: BTreeMap::new(),
+            instances: BTreeMap::new(),
             waiting: VecDeque::new(),
             running: vec![],
             arrivals: VecDeque::new(),
-            orders: vec![],
+            loads: vec![],
             calls: 0,
-            full: 0,
+            full_answers: 0,
             probes: 0,
-            fell: 0,
+            crashes: 0,
         }
     }
 
-    /// Its process ends: all that it knew and did is gone.
+    /// Ends the process and drops all its state.
     pub fn end(&mut self) {
         self.up = false;
-        (self.waiting, self.running, self.orders) = Default::default();
-        self.copies.clear();
+        (self.waiting, self.running, self.loads) = Default::default();
+        self.instances.clear();
         self.arrivals.clear();
     }
 
-    /// It starts anew, and cold.
+    /// Starts the process again, cold.
     pub fn start(&mut self, now: Moment) {
         (self.up, self.started, self.draining) = (true, Some(now), None);
     }
 
-    /// The part of its usual pace that it has now.
+    /// Current speed as a fraction of the full speed.
     fn pace(&self, now: Moment) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let age = (now - started) as f64 / (self.kind.cold_ms * MS) as f64;
+        let age = (now - started) as f64 / (self.kind.cold_ms * MILLISECOND) as f64;
         self.kind.cold_from + (1.0 - self.kind.cold_from) * age.min(1.0)
     }
 
-    /// Whether it has fallen over: it is cold, and was sent far more than it can do, with the operators' slack for chance.
-    fn falls(&mut self, now: Moment) -> bool {
-        let span = self.kind.fall_ms * MS;
+    /// Whether it crashes: it is cold and was sent far more than it can process, with the slack for random variation
+    /// that operators allow.
+    fn is_overloaded(&mut self, now: Moment) -> bool {
+        let span = self.kind.fall_ms * MILLISECOND;
         self.arrivals.retain(|at| *at + span > now);
         let pace = self.pace(now);
-        let able = self.kind.lanes as f64 / (self.kind.work_ms / 1e3) * pace * span as f64 / SECOND as f64;
-        let bears = able * self.kind.fall_multiple;
-        let chance = if bears < 30.0 { 3.0 * bears.sqrt() + 3.0 } else { 2.0 * bears.sqrt() + 2.0 };
-        pace < 1.0 && self.arrivals.len() as f64 > bears + chance
+        let capacity =
+            self.kind.lanes as f64 / (self.kind.work_ms / 1e3) * pace * span as f64 / SECOND as f64;
+        let tolerated = capacity * self.kind.fall_multiple;
+        let slack =
+            if tolerated < 30.0 { 3.0 * tolerated.sqrt() + 3.0 } else { 2.0 * tolerated.sqrt() + 2.0 };
+        pace < 1.0 && self.arrivals.len() as f64 > tolerated + slack
     }
 
-    /// A line has come. Returns whether it fell over by it.
-    pub fn hear(
+    /// Processes a received line. Returns whether the worker crashed from overload.
+    pub fn receive_line(
         &mut self,
         now: Moment,
         connection: u64,
         line: &Value,
         store: &mut Store,
-        out: &mut Vec<Said>,
+        out: &mut Vec<SentLine>,
     ) -> bool {
         let rid = line["rid"].as_str().unwrap_or_default().to_owned();
         let attrs = &line["attrs"];
         let function = attrs["name"].as_str().unwrap_or_default().to_owned();
         match line["verb"].as_str().unwrap_or_default() {
             "go" if self.draining.is_some() => {
-                self.full += 1;
+                self.full_answers += 1;
                 out.push((connection, json!({"verb": "503", "rid": rid}).to_string()));
             }
             "go" => return self.take_call(now, connection, line, out),
@@ -205,26 +208,26 @@
                 self.waiting.retain(|call| call.connection != connection || call.rid != rid);
                 self.running.retain(|(_, call)| call.connection != connection || call.rid != rid);
             }
-            // A question for copies, which is answered by whoever drains too.
+            // A query of the number of instances, which a draining worker answers too.
             "stage" if attrs["replicas"].as_u64() == Some(0) => {
-                let copies = u64::from(self.stands(now, &function));
+                let copies = u64::from(self.has_instance(now, &function));
                 let answer = json!({"verb": "200", "rid": rid, "attrs": {"replicas": copies}});
                 out.push((connection, answer.to_string()));
             }
             "stage" => {
                 let ready = match self.draining {
                     Some(_) => None,
-                    None => self.copy(now, &function, store),
+                    None => self.start_instance(now, &function, store),
                 };
                 match ready {
-                    Some(at) => self.orders.push((at, connection, rid)),
+                    Some(at) => self.loads.push((at, connection, rid)),
                     None => out.push((
                         connection,
                         json!({"verb": "503", "rid": rid, "attrs": {"replicas": 0}}).to_string(),
                     )),
                 }
             }
-            "purge" => drop(self.copies.remove(&rid)),
+            "purge" => drop(self.instances.remove(&rid)),
             "ping" | "stat" => {
                 self.probes += 1;
                 let verb = if self.draining.is_some() { "dead" } else { "alive" };
@@ -235,51 +238,52 @@
         false
     }
 
-    /// Takes a call that has come; whether it fell over by it.
-    fn take_call(&mut self, now: Moment, connection: u64, line: &Value, out: &mut Vec<Said>) -> bool {
-        let word = |value: &Value| value.as_str().unwrap_or_default().to_owned();
-        let (rid, attrs) = (word(&line["rid"]), &line["attrs"]);
+    /// Enqueues a received call. Returns whether the worker crashed from overload.
+    fn take_call(&mut self, now: Moment, connection: u64, line: &Value, out: &mut Vec<SentLine>) -> bool {
+        let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
+        let (rid, attrs) = (text(&line["rid"]), &line["attrs"]);
         self.calls += 1;
         self.arrivals.push_back(now);
-        if self.falls(now) {
-            self.fell += 1;
+        if self.is_overloaded(now) {
+            self.crashes += 1;
             return true;
         }
         if self.waiting.len() >= self.kind.queue {
-            self.full += 1;
+            self.full_answers += 1;
             out.push((connection, json!({"verb": "503", "rid": rid}).to_string()));
             return false;
         }
-        let until = now + attrs["ttl"].as_u64().unwrap_or_default() * MS;
-        let (function, body) = (word(&attrs["name"]), word(&line["content"]));
-        self.waiting.push_back(Call { connection, rid, function, until, body });
+        let deadline = now + attrs["ttl"].as_u64().unwrap_or_default() * MILLISECOND;
+        let (function, body) = (text(&attrs["name"]), text(&line["content"]));
+        self.waiting.push_back(Call { connection, rid, function, deadline, body });
         false
     }
 
-    /// When a copy stands; none if there is no room for one.
-    fn copy(&mut self, now: Moment, function: &str, store: &mut Store) -> Option<Moment> {
-        self.copies.retain(|_, copy| copy.until > now);
-        if let Some(copy) = self.copies.get_mut(function) {
-            copy.until = copy.until.max(now + KEEP);
-            return Some(copy.ready.max(now));
+    /// When an instance is ready, loading it if needed; `None` if there is no memory for it.
+    fn start_instance(&mut self, now: Moment, function: &str, store: &mut Store) -> Option<Moment> {
+        self.instances.retain(|_, instance| instance.until > now);
+        if let Some(instance) = self.instances.get_mut(function) {
+            instance.until = instance.until.max(now + INSTANCE_KEEP_ALIVE);
+            return Some(instance.ready.max(now));
         }
-        if self.copies.len() >= self.kind.copies {
-            let used = |name: &String| self.running.iter().any(|(_, call)| call.function == *name);
-            let idle = self.copies.iter().filter(|(name, copy)| copy.ready <= now && !used(name));
-            let oldest = idle.min_by_key(|(_, copy)| copy.until).map(|(name, _)| name.clone())?;
-            self.copies.remove(&oldest);
+        if self.instances.len() >= self.kind.copies {
+            let is_used = |name: &String| self.running.iter().any(|(_, call)| call.function == *name);
+            let idle =
+                self.instances.iter().filter(|(name, instance)| instance.ready <= now && !is_used(name));
+            let oldest = idle.min_by_key(|(_, instance)| instance.until).map(|(name, _)| name.clone())?;
+            self.instances.remove(&oldest);
         }
         let ready = store.load(now, &self.kind);
-        self.copies.insert(function.to_owned(), Copy { ready, until: ready + KEEP });
+        self.instances.insert(function.to_owned(), Instance { ready, until: ready + INSTANCE_KEEP_ALIVE });
         Some(ready)
     }
 
-    /// Ends what has run, and begins what can.
-    pub fn turn(&mut self, now: Moment, store: &mut Store, rng: &mut SmallRng, out: &mut Vec<Said>) {
-        if !self.up || self.hangs {
+    /// Finishes the calls and loads that are due, and starts waiting calls.
+    pub fn advance(&mut self, now: Moment, store: &mut Store, rng: &mut SmallRng, out: &mut Vec<SentLine>) {
+        if !self.up || self.is_hung {
             return;
         }
-        for (_, connection, rid) in self.orders.extract_if(.., |(at, ..)| *at <= now) {
+        for (_, connection, rid) in self.loads.extract_if(.., |(at, ..)| *at <= now) {
             out.push((connection, json!({"verb": "200", "rid": rid, "attrs": {"replicas": 1}}).to_string()));
         }
         for (_, call) in self.running.extract_if(.., |(at, _)| *at <= now) {
@@ -290,35 +294,35 @@
         }
         while self.running.len() < self.kind.lanes {
             let Some(call) = self.waiting.pop_front() else { return };
-            if call.until <= now {
+            if call.deadline <= now {
                 out.push((call.connection, json!({"verb": "504", "rid": call.rid}).to_string()));
                 continue;
             }
-            let Some(ready) = self.copy(now, &call.function, store) else {
-                self.full += 1;
+            let Some(ready) = self.start_instance(now, &call.function, store) else {
+                self.full_answers += 1;
                 out.push((call.connection, json!({"verb": "503", "rid": call.rid}).to_string()));
                 continue;
             };
-            // Shares of the average from a half to one and a half.
-            let work = self.kind.work_ms * rng.random_range(0.5..1.5) * self.slow / self.pace(now);
-            let end = ready + (work * MS as f64) as u64;
-            if let Some(copy) = self.copies.get_mut(&call.function) {
-                copy.until = copy.until.max(end + KEEP);
+            // Run times are uniform between half and one and a half times the mean.
+            let work = self.kind.work_ms * rng.random_range(0.5..1.5) * self.slowdown / self.pace(now);
+            let end = ready + (work * MILLISECOND as f64) as u64;
+            if let Some(instance) = self.instances.get_mut(&call.function) {
+                instance.until = instance.until.max(end + INSTANCE_KEEP_ALIVE);
             }
             self.running.push((end, call));
         }
     }
 
-    /// Whether a copy stands.
-    pub fn stands(&self, now: Moment, function: &str) -> bool {
-        self.copies.get(function).is_some_and(|copy| copy.ready <= now && now < copy.until)
+    /// Whether an instance of the function is ready.
+    pub fn has_instance(&self, now: Moment, function: &str) -> bool {
+        self.instances.get(function).is_some_and(|instance| instance.ready <= now && now < instance.until)
     }
 
-    /// A connection has ended: what was open on it is given up.
-    pub fn left(&mut self, connection: u64) {
+    /// Drops the calls and loads of a connection that has ended.
+    pub fn connection_closed(&mut self, connection: u64) {
         self.waiting.retain(|call| call.connection != connection);
         self.running.retain(|(_, call)| call.connection != connection);
-        self.orders.retain(|(_, one, _)| *one != connection);
+        self.loads.retain(|(_, from, _)| *from != connection);
     }
 }
 
--- a/lab/tests/rehearse.rs
+++ b/lab/tests/rehearse.rs
@@ -1,32 +1,32 @@
-//! Plays with real processes, each with one seed: no rule may be broken. How soon anything happens is reported and
-//! not judged; `lab rehearse NAME --seeds N` plays more of them.
+//! Runs scenarios with real processes, each with one seed: no rule may be violated. How soon anything happens is
+//! reported but not checked; `lab rehearse NAME --seeds N` runs more seeds.
 
 #![allow(
     clippy::unwrap_used,
     clippy::too_many_lines,
     clippy::needless_pass_by_value,
-    reason = "a test that cannot go on ends there, and is read from top to bottom"
+    reason = "a test that cannot continue fails at once, and is read from top to bottom"
 )]
 
 use lab::rig::environment::{self, Options};
 use lab::rig::report::Report;
 use lab::rig::scenario::Scenario;
 
-fn play(name: &str) -> Report {
+fn run(name: &str) -> Report {
     let program = env!("CARGO_BIN_EXE_lab").into();
     let options = Options { program, seed: 5, progress: false, logs: None };
-    let report = environment::play(name, Scenario::find(name).unwrap(), options).unwrap();
+    let report = environment::run_scenario(name, Scenario::find(name).unwrap(), options).unwrap();
     assert!(report.broken.is_empty(), "{}", report.table());
     assert!(
         report.seconds.iter().map(|second| second[0]).sum::<u64>() > 0,
-        "nothing served: {}",
+        "no call was served: {}",
         report.table()
     );
     report
 }
 
-/// Somebody holds each part, and somebody else, or under a later fence, does after what happened to it.
-fn passes_on(report: &Report) {
+/// Each part was held under at least two fences, in increasing order: after the fault it was granted again.
+fn assert_parts_are_granted_again(report: &Report) {
     for part in ["probe 0", "probe 1", "renew 0", "renew 1"] {
         let fences: Vec<u64> =
             report.held.iter().filter(|held| held.of == part).map(|held| held.fence).collect();
@@ -35,71 +35,71 @@
 }
 
 #[test]
-fn one_crash_in_a_short_day() {
-    passes_on(&play("short-day"));
+fn a_crash_during_a_short_day() {
+    assert_parts_are_granted_again(&run("short-day"));
 }
 
 #[test]
-fn the_holder_is_killed_again_and_again() {
-    passes_on(&play("holder-killed"));
+fn the_holder_is_killed_repeatedly() {
+    assert_parts_are_granted_again(&run("holder-killed"));
 }
 
 #[test]
 fn the_holder_is_stopped_beyond_its_term_and_continued() {
-    passes_on(&play("holder-stopped"));
+    assert_parts_are_granted_again(&run("holder-stopped"));
 }
 
 #[test]
-fn the_holder_is_cut_off_from_peers_but_not_from_run_boxes() {
-    passes_on(&play("holder-cut"));
+fn the_holder_is_cut_off_from_peers_but_not_from_workers() {
+    assert_parts_are_granted_again(&run("holder-cut"));
 }
 
 #[test]
 fn links_are_cut_in_one_direction() {
-    passes_on(&play("one-way"));
+    assert_parts_are_granted_again(&run("one-way"));
 }
 
 #[test]
-fn a_majority_moves_while_links_flap() {
-    play("flapping");
+fn the_majority_changes_while_links_flap() {
+    run("flapping");
 }
 
 #[test]
 fn an_elector_is_restarted_within_a_term() {
-    play("elector-restarted");
+    run("elector-restarted");
 }
 
 #[test]
 fn two_of_three_are_killed() {
-    passes_on(&play("two-killed"));
+    assert_parts_are_granted_again(&run("two-killed"));
 }
 
 #[test]
 fn all_are_restarted_at_once() {
-    passes_on(&play("all-restarted"));
+    assert_parts_are_granted_again(&run("all-restarted"));
 }
 
 #[test]
-fn the_holder_is_upgraded_and_ended_in_good_order() {
-    passes_on(&play("planned"));
+fn the_holder_is_upgraded_and_shut_down() {
+    assert_parts_are_granted_again(&run("planned"));
 }
 
 #[test]
-fn all_kinds_of_faults_one_on_another() {
-    play("rough");
+fn faults_of_all_kinds_overlap() {
+    run("rough");
 }
 
 #[test]
 fn a_third_and_then_most_are_killed_under_overload() {
-    play("overload-killed");
+    run("overload-killed");
 }
 
 #[test]
-fn links_are_slow_lossy_and_cut_and_one_stops_under_overload() {
-    play("overload-links");
+fn links_are_slow_lossy_and_cut_and_a_process_stops_under_overload() {
+    run("overload-links");
 }
 
 #[test]
-fn run_boxes_and_the_store_fail() {
-    play("boxes");
+fn workers_and_the_store_fail() {
+    run("boxes");
 }
