--- a/lab/shim/src/lib.rs
+++ b/lab/shim/src/lib.rs
@@ -1,8 +1,8 @@
-//! A library for `LD_PRELOAD` that makes system calls of the process under test fail as Linux documents it, and
-//! steps its wall clock. A control file, mapped into the process, says which calls fail, with what and how often;
-//! without `FAULT_SHIM_CONTROL` in the environment nothing is changed.
+//! A library for `LD_PRELOAD` that makes system calls of the process under test fail in ways that Linux documents,
+//! and steps its wall clock. A control file, mapped into the process, says which calls fail, with which errno and how
+//! often; without `FAULT_SHIM_CONTROL` in the environment nothing changes.
 //!
-//! Every function here stands in front of the C library's one of the same name. The calls themselves are made with
+//! Every function here replaces the C library's function of the same name. The calls themselves are made with
 //! `syscall`, so nothing has to be looked up at run time.
 
 #[path = "../../src/faults/layout.rs"]
@@ -15,24 +15,24 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-const NANOSECONDS: i64 = 1_000_000_000;
+const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
-/// The control file, mapped.
-static CONTROL: OnceLock<Option<&'static [AtomicU64]>> = OnceLock::new();
+/// The mapped control file.
+static CONTROL_FILE: OnceLock<Option<&'static [AtomicU64]>> = OnceLock::new();
 
 fn words() -> Option<&'static [AtomicU64]> {
-    *CONTROL.get_or_init(map)
+    *CONTROL_FILE.get_or_init(map_control_file)
 }
 
-/// Maps the control file; none where the environment names none, or it cannot be had.
-fn map() -> Option<&'static [AtomicU64]> {
-    let name = CString::new(layout::CONTROL).ok()?;
+/// Maps the control file; `None` if the environment names none or it cannot be mapped.
+fn map_control_file() -> Option<&'static [AtomicU64]> {
+    let name = CString::new(layout::CONTROL_FILE_VARIABLE).ok()?;
     // SAFETY: the environment is only read; the process under test sets none of its own variables.
     let path = unsafe { libc::getenv(name.as_ptr()) };
     if path.is_null() {
         return None;
     }
-    let size = layout::LENGTH * size_of::<u64>();
+    let size = layout::FILE_WORDS * size_of::<u64>();
     // SAFETY: `path` is a C string of the environment; the mapping is shared, of the file's own size, and kept for as
     // long as the process lives, so that a slice of atomics over it is valid.
     unsafe {
@@ -52,12 +52,12 @@
         if at == libc::MAP_FAILED {
             return None;
         }
-        Some(std::slice::from_raw_parts(at.cast::<AtomicU64>(), layout::LENGTH))
+        Some(std::slice::from_raw_parts(at.cast::<AtomicU64>(), layout::FILE_WORDS))
     }
 }
 
-/// The errno with which this call is to fail now; counts it.
-fn fault(call: Call) -> Option<u64> {
+/// The errno with which this call has to fail now, if any; counts the failure.
+fn next_fault(call: Call) -> Option<u64> {
     let words = words()?;
     let errno = words[call.errno()].load(Ordering::Acquire);
     if errno == 0 {
@@ -78,19 +78,19 @@
     Some(errno)
 }
 
-/// Whether a fault is armed, without counting it.
-fn armed(call: Call) -> bool {
+/// Whether a fault is set, without counting it.
+fn is_fault_set(call: Call) -> bool {
     words().is_some_and(|words| words[call.errno()].load(Ordering::Acquire) != 0)
 }
 
-fn fail(errno: u64) -> c_int {
+fn set_errno(errno: u64) -> c_int {
     // SAFETY: errno's location is always valid for the calling thread.
     unsafe { *libc::__errno_location() = errno as c_int };
     -1
 }
 
-/// The kind of file behind a descriptor, as `S_IFMT` names it.
-fn kind(descriptor: c_int) -> libc::mode_t {
+/// The file type of a descriptor, as one of the `S_IF` constants.
+fn file_type(descriptor: c_int) -> libc::mode_t {
     // SAFETY: `stat` is plain old data that the call fills in.
     unsafe {
         let mut stat: libc::stat = std::mem::zeroed();
@@ -101,10 +101,10 @@
     }
 }
 
-/// Whether a socket is of the Internet family: pairs and signal pipes of the process itself are left alone.
+/// Whether a socket belongs to the IPv4 family: socket pairs and signal pipes of the process itself are left alone.
 fn is_internet(descriptor: c_int) -> bool {
     let (mut family, mut size): (c_int, socklen_t) = (0, size_of::<c_int>() as socklen_t);
-    // SAFETY: both out parameters live on this stack frame and have the sizes that are told.
+    // SAFETY: both out parameters live on this stack frame and have the stated sizes.
     let done = unsafe {
         libc::getsockopt(
             descriptor,
@@ -117,26 +117,26 @@
     done == 0 && family == libc::AF_INET
 }
 
-/// How many bytes a read or write may move, or the errno with which it fails.
-fn allowance(call: Call, descriptor: c_int, count: size_t) -> Result<size_t, u64> {
-    if !armed(call) || count == 0 {
+/// How many bytes a read or write may transfer, or the errno with which it has to fail.
+fn allowed_bytes(call: Call, descriptor: c_int, count: size_t) -> Result<size_t, u64> {
+    if !is_fault_set(call) || count == 0 {
         return Ok(count);
     }
-    let meant = match call {
-        Call::WriteFile => kind(descriptor) == libc::S_IFREG,
-        _ => kind(descriptor) == libc::S_IFSOCK && is_internet(descriptor),
+    let applies = match call {
+        Call::WriteFile => file_type(descriptor) == libc::S_IFREG,
+        _ => file_type(descriptor) == libc::S_IFSOCK && is_internet(descriptor),
     };
-    if !meant {
+    if !applies {
         return Ok(count);
     }
-    match fault(call) {
+    match next_fault(call) {
         None => Ok(count),
         Some(SHORT_TRANSFER) => Ok(1),
         Some(errno) => Err(errno),
     }
 }
 
-/// The wall clock is stepped by the control file's offset; all other clocks run on.
+/// Adds the control file's offset to the wall clock; all other clocks are unchanged.
 ///
 /// # Safety
 /// As `clock_gettime(2)`.
@@ -146,18 +146,18 @@
     unsafe {
         let done = libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int;
         if done == 0 && clock == libc::CLOCK_REALTIME {
-            step(&mut *time);
+            add_offset(&mut *time);
         }
         done
     }
 }
 
-/// Steps a point in Unix time by the control file's offset.
-fn step(time: &mut timespec) {
+/// Adds the control file's offset to a Unix time.
+fn add_offset(time: &mut timespec) {
     let offset = words().map_or(0, |words| words[WALL_OFFSET].load(Ordering::Acquire) as i64);
-    let total = time.tv_nsec + offset % NANOSECONDS;
-    time.tv_sec += offset / NANOSECONDS + total.div_euclid(NANOSECONDS);
-    time.tv_nsec = total.rem_euclid(NANOSECONDS);
+    let total = time.tv_nsec + offset % NANOSECONDS_PER_SECOND;
+    time.tv_sec += offset / NANOSECONDS_PER_SECOND + total.div_euclid(NANOSECONDS_PER_SECOND);
+    time.tv_nsec = total.rem_euclid(NANOSECONDS_PER_SECOND);
 }
 
 /// # Safety
@@ -169,8 +169,8 @@
     size: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    match fault(Call::Accept) {
-        Some(errno) => fail(errno),
+    match next_fault(Call::Accept) {
+        Some(errno) => set_errno(errno),
         // SAFETY: the caller's arguments are passed on.
         None => unsafe { libc::syscall(libc::SYS_accept4, socket, address, size, flags) as c_int },
     }
@@ -180,11 +180,11 @@
 /// As `socket(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    let fault = fault(Call::Socket);
+    let fault = next_fault(Call::Socket);
     if let Some(errno) = fault
         && errno != SHORT_TRANSFER
     {
-        return fail(errno);
+        return set_errno(errno);
     }
     // SAFETY: the caller's arguments are passed on.
     let made = unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int };
@@ -194,10 +194,10 @@
     made
 }
 
-/// Leaves a socket the least room for what it sends.
+/// Gives a socket the smallest possible send buffer.
 fn limit_send_buffer(socket: c_int) {
     let least: c_int = 1;
-    // SAFETY: the option's value lives on this stack frame and has the size that is told.
+    // SAFETY: the option's value lives on this stack frame and has the stated size.
     unsafe {
         let value = (&raw const least).cast::<c_void>();
         libc::setsockopt(socket, libc::SOL_SOCKET, libc::SO_SNDBUF, value, size_of::<c_int>() as socklen_t);
@@ -208,11 +208,11 @@
 /// As `connect(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, size: socklen_t) -> c_int {
-    if armed(Call::Connect)
+    if is_fault_set(Call::Connect)
         && is_internet(socket)
-        && let Some(errno) = fault(Call::Connect)
+        && let Some(errno) = next_fault(Call::Connect)
     {
-        return fail(errno);
+        return set_errno(errno);
     }
     // SAFETY: the caller's arguments are passed on.
     unsafe { libc::syscall(libc::SYS_connect, socket, address, size) as c_int }
@@ -222,8 +222,8 @@
 /// As `recv(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(socket: c_int, bytes: *mut c_void, count: size_t, flags: c_int) -> ssize_t {
-    match allowance(Call::Read, socket, count) {
-        Err(errno) => fail(errno) as ssize_t,
+    match allowed_bytes(Call::Read, socket, count) {
+        Err(errno) => set_errno(errno) as ssize_t,
         // SAFETY: no more than the caller's count is read into its buffer.
         Ok(count) => unsafe {
             let (none, size) = (std::ptr::null_mut::<sockaddr>(), std::ptr::null_mut::<socklen_t>());
@@ -232,7 +232,7 @@
     }
 }
 
-/// The kernel's receive times are stepped like the wall clock.
+/// Adds the offset to the kernel's receive times, as to the wall clock.
 ///
 /// # Safety
 /// As `recvmsg(2)`.
@@ -243,8 +243,8 @@
         let mut none = libc::iovec { iov_base: std::ptr::null_mut(), iov_len: 0 };
         let part = if (*message).msg_iovlen == 0 { &raw mut none } else { (*message).msg_iov };
         let whole = (*part).iov_len;
-        match allowance(Call::Read, socket, whole) {
-            Err(errno) => fail(errno) as ssize_t,
+        match allowed_bytes(Call::Read, socket, whole) {
+            Err(errno) => set_errno(errno) as ssize_t,
             Ok(count) => {
                 (*part).iov_len = count;
                 let received = libc::syscall(libc::SYS_recvmsg, socket, message, flags) as ssize_t;
@@ -261,15 +261,15 @@
 /// # Safety
 /// The message is one that `recvmsg(2)` has filled in.
 unsafe fn step_receive_times(message: &libc::msghdr) {
-    // SAFETY: the control parts are walked as cmsg(3) says; the kernel has written a whole `timespec` into one of this type,
-    // which need not be aligned.
+    // SAFETY: the control messages are walked as cmsg(3) says; the kernel has written a complete `timespec` into each
+    // one of this type, which need not be aligned.
     unsafe {
         let mut part = libc::CMSG_FIRSTHDR(message);
         while !part.is_null() {
             if (*part).cmsg_level == libc::SOL_SOCKET && (*part).cmsg_type == libc::SCM_TIMESTAMPNS {
                 let at = libc::CMSG_DATA(part).cast::<timespec>();
                 let mut time = at.read_unaligned();
-                step(&mut time);
+                add_offset(&mut time);
                 at.write_unaligned(time);
             }
             part = libc::CMSG_NXTHDR(message, part);
@@ -281,8 +281,8 @@
 /// As `read(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn read(descriptor: c_int, bytes: *mut c_void, count: size_t) -> ssize_t {
-    match allowance(Call::Read, descriptor, count) {
-        Err(errno) => fail(errno) as ssize_t,
+    match allowed_bytes(Call::Read, descriptor, count) {
+        Err(errno) => set_errno(errno) as ssize_t,
         // SAFETY: no more than the caller's count is read into its buffer.
         Ok(count) => unsafe { libc::syscall(libc::SYS_read, descriptor, bytes, count) as ssize_t },
     }
@@ -292,8 +292,8 @@
 /// As `send(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(socket: c_int, bytes: *const c_void, count: size_t, flags: c_int) -> ssize_t {
-    match allowance(Call::Write, socket, count) {
-        Err(errno) => fail(errno) as ssize_t,
+    match allowed_bytes(Call::Write, socket, count) {
+        Err(errno) => set_errno(errno) as ssize_t,
         // SAFETY: no more than the caller's count is written from its buffer.
         Ok(count) => unsafe {
             let none = std::ptr::null::<sockaddr>();
@@ -306,10 +306,10 @@
 /// As `write(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, bytes: *const c_void, count: size_t) -> ssize_t {
-    let allowed = allowance(Call::Write, descriptor, count)
-        .and_then(|count| allowance(Call::WriteFile, descriptor, count));
+    let allowed = allowed_bytes(Call::Write, descriptor, count)
+        .and_then(|count| allowed_bytes(Call::WriteFile, descriptor, count));
     match allowed {
-        Err(errno) => fail(errno) as ssize_t,
+        Err(errno) => set_errno(errno) as ssize_t,
         // SAFETY: no more than the caller's count is written from its buffer.
         Ok(count) => unsafe { libc::syscall(libc::SYS_write, descriptor, bytes, count) as ssize_t },
     }
@@ -326,8 +326,8 @@
     from: *mut sockaddr,
     size: *mut socklen_t,
 ) -> ssize_t {
-    if let Some(errno) = fault(Call::ReceiveDatagram) {
-        return fail(errno) as ssize_t;
+    if let Some(errno) = next_fault(Call::ReceiveDatagram) {
+        return set_errno(errno) as ssize_t;
     }
     // SAFETY: the caller's arguments are passed on.
     unsafe { libc::syscall(libc::SYS_recvfrom, socket, bytes, count, flags, from, size) as ssize_t }
@@ -344,8 +344,8 @@
     to: *const sockaddr,
     size: socklen_t,
 ) -> ssize_t {
-    if let Some(errno) = fault(Call::SendDatagram) {
-        return fail(errno) as ssize_t;
+    if let Some(errno) = next_fault(Call::SendDatagram) {
+        return set_errno(errno) as ssize_t;
     }
     // SAFETY: the caller's arguments are passed on.
     unsafe { libc::syscall(libc::SYS_sendto, socket, bytes, count, flags, to, size) as ssize_t }
@@ -360,8 +360,8 @@
     most: c_int,
     timeout: c_int,
 ) -> c_int {
-    if let Some(errno) = fault(Call::Wait) {
-        return fail(errno);
+    if let Some(errno) = next_fault(Call::Wait) {
+        return set_errno(errno);
     }
     let (no_mask, no_size): (*const libc::sigset_t, size_t) = (std::ptr::null(), 0);
     // SAFETY: the caller's arguments are passed on, without a signal mask.
@@ -372,8 +372,8 @@
 /// As `rename(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const libc::c_char, to: *const libc::c_char) -> c_int {
-    if let Some(errno) = fault(Call::Rename) {
-        return fail(errno);
+    if let Some(errno) = next_fault(Call::Rename) {
+        return set_errno(errno);
     }
     // SAFETY: the caller's C strings are passed on.
     unsafe {
@@ -387,8 +387,8 @@
 /// As `fsync(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
-    match fault(Call::Sync) {
-        Some(errno) => fail(errno),
+    match next_fault(Call::Sync) {
+        Some(errno) => set_errno(errno),
         // SAFETY: the descriptor is passed on.
         None => unsafe { libc::syscall(libc::SYS_fsync, descriptor) as c_int },
     }
@@ -398,8 +398,8 @@
 /// As `fdatasync(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
-    match fault(Call::Sync) {
-        Some(errno) => fail(errno),
+    match next_fault(Call::Sync) {
+        Some(errno) => set_errno(errno),
         // SAFETY: the descriptor is passed on.
         None => unsafe { libc::syscall(libc::SYS_fdatasync, descriptor) as c_int },
     }
--- a/lab/src/faults.rs
+++ b/lab/src/faults.rs
@@ -1,5 +1,5 @@
-//! Failing system calls and a stepped wall clock in a process under test, through the library `fault-shim` that is
-//! loaded in front of the C library.
+//! Injects failing system calls and a stepped wall clock into a process under test, through the library `fault-shim`
+//! that is preloaded before the C library.
 
 pub mod layout;
 
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Steers what one process meets.
+/// Controls the faults of one process through its control file.
 #[derive(Debug)]
 pub struct Faults {
     path: PathBuf,
@@ -19,16 +19,16 @@
 }
 
 impl Faults {
-    /// Makes a control file, with nothing armed.
+    /// Creates a control file without faults.
     pub fn new(path: &Path) -> io::Result<Faults> {
         let file = File::options().read(true).write(true).create(true).truncate(true).open(path)?;
-        file.set_len((layout::LENGTH * size_of::<u64>()) as u64)?;
+        file.set_len((layout::FILE_WORDS * size_of::<u64>()) as u64)?;
         Ok(Faults { path: path.to_owned(), file })
     }
 
-    /// Has the program of this command meet them.
+    /// Makes the command's program preload the library and use this control file.
     pub fn preload(&self, command: &mut Command) -> io::Result<()> {
-        command.env("LD_PRELOAD", library()?).env(layout::CONTROL, &self.path);
+        command.env("LD_PRELOAD", library_path()?).env(layout::CONTROL_FILE_VARIABLE, &self.path);
         Ok(())
     }
 
@@ -42,22 +42,22 @@
         Ok(u64::from_ne_bytes(bytes))
     }
 
-    /// From now on the wall clock is off by so many milliseconds.
+    /// Offsets the wall clock by this many milliseconds.
     pub fn step_wall_clock(&self, milliseconds: i64) -> io::Result<()> {
         self.set(layout::WALL_OFFSET, (milliseconds * 1_000_000) as u64)
     }
 
-    /// The next `times` of these calls fail with this errno; [`UNTIL_CLEARED`] until [`Faults::clear`].
+    /// Makes the next `times` of these calls fail with this errno; [`UNTIL_CLEARED`] until [`Faults::clear`].
     pub fn fail(&self, call: Call, errno: u64, times: u64) -> io::Result<()> {
         self.fail_after(call, 0, errno, times)
     }
 
-    /// The same, once so many calls have passed.
+    /// Like [`Faults::fail`], after `passing` calls that succeed.
     pub fn fail_after(&self, call: Call, passing: u64, errno: u64, times: u64) -> io::Result<()> {
         self.arm(call, passing, false, errno, times)
     }
 
-    /// The same, where those that pass first move one byte each.
+    /// Like [`Faults::fail_after`], but the calls that succeed transfer one byte each.
     pub fn fail_after_short(&self, call: Call, passing: u64, errno: u64, times: u64) -> io::Result<()> {
         self.arm(call, passing, true, errno, times)
     }
@@ -70,23 +70,23 @@
         self.set(call.errno(), errno)
     }
 
-    /// The call fails no longer.
+    /// Stops the call from failing.
     pub fn clear(&self, call: Call) -> io::Result<()> {
         self.set(call.errno(), 0)
     }
 
-    /// How often the call has failed so far.
+    /// Number of times the call has failed so far.
     pub fn injected(&self, call: Call) -> io::Result<u64> {
         self.get(call.injected())
     }
 }
 
-/// The built library, which cargo leaves beside the dependencies of this program.
-fn library() -> io::Result<PathBuf> {
+/// Path of the built library, which cargo puts beside this program's dependencies.
+fn library_path() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folders = program.ancestors().skip(1).take(2);
-    let names =
+    let candidates =
         folders.flat_map(|folder| [folder.join("deps/libfault_shim.so"), folder.join("libfault_shim.so")]);
-    let found = names.into_iter().find(|name| name.exists());
+    let found = candidates.into_iter().find(|path| path.exists());
     found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "libfault_shim.so was not built"))
 }
--- a/lab/src/faults/layout.rs
+++ b/lab/src/faults/layout.rs
@@ -1,24 +1,23 @@
-//! The layout of the control file through which a test steers the preloaded library: 64-bit words in the machine's own
-//! byte order. Used by both sides.
+//! Layout of the control file through which a test controls the preloaded library: 64-bit words in native byte order.
+//! Used by both sides.
 
-/// Names the control file in the environment of the process under test.
-pub const CONTROL: &str = "FAULT_SHIM_CONTROL";
-/// The word with the offset of the wall clock, in nanoseconds, as a signed number.
+/// Environment variable with the path of the control file.
+pub const CONTROL_FILE_VARIABLE: &str = "FAULT_SHIM_CONTROL";
+/// Index of the word with the wall clock's offset, in nanoseconds, as a signed number.
 pub const WALL_OFFSET: usize = 0;
-/// The first word of the first fault.
+/// Index of the first word of the first fault.
 const FIRST_FAULT: usize = 1;
-/// Words of one fault: the errno, how often it is still to come, how often it came, how many calls pass before it, and
-/// whether those move one byte only.
-const WORDS: usize = 5;
-/// The size of the control file in words.
-pub const LENGTH: usize = FIRST_FAULT + WORDS * Call::ALL.len();
-/// An errno that stands for no failure: reads and writes move one byte, and new sockets have the least room for what
-/// they send.
+/// Number of words per fault: the errno, how often the call is still to fail, how often it failed, how many calls
+/// pass first, and whether those transfer only one byte.
+const WORDS_PER_FAULT: usize = 5;
+/// Size of the control file, in words.
+pub const FILE_WORDS: usize = FIRST_FAULT + WORDS_PER_FAULT * Call::ALL.len();
+/// Instead of an errno: reads and writes transfer one byte, and new sockets get the smallest send buffer.
 pub const SHORT_TRANSFER: u64 = 4_095;
-/// Comes until it is cleared.
+/// Instead of a number of failures: the call fails until it is cleared.
 pub const UNTIL_CLEARED: u64 = u64::MAX;
 
-/// A system call, or a group of them, that can be made to fail.
+/// A system call, or a group of system calls, that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Call {
     /// `accept4`.
@@ -46,7 +45,7 @@
 }
 
 impl Call {
-    /// All of them, in the order of the file.
+    /// All calls, in the order of the control file.
     pub const ALL: [Call; 11] = [
         Call::Accept,
         Call::Socket,
@@ -61,27 +60,27 @@
         Call::Sync,
     ];
 
-    /// The word with its errno, 0 for none.
+    /// Index of the word with the errno; 0 means that no fault is set.
     pub const fn errno(self) -> usize {
-        FIRST_FAULT + WORDS * self as usize
+        FIRST_FAULT + WORDS_PER_FAULT * self as usize
     }
 
-    /// The word that says how often it is still to fail.
+    /// Index of the word with the number of failures still to come.
     pub const fn remaining(self) -> usize {
         self.errno() + 1
     }
 
-    /// The word that counts how often it failed.
+    /// Index of the word that counts the failures.
     pub const fn injected(self) -> usize {
         self.errno() + 2
     }
 
-    /// The word that says how many calls are to pass before one fails.
+    /// Index of the word with the number of calls that pass before the first failure.
     pub const fn passing(self) -> usize {
         self.errno() + 3
     }
 
-    /// The word that is not 0 where the calls that pass first move one byte only.
+    /// Index of the word that is nonzero if the calls that pass first transfer only one byte.
     pub const fn passing_short(self) -> usize {
         self.errno() + 4
     }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,10 +1,10 @@
-//! The laboratory: plays what the scheduler decides, in virtual time and with real processes, and reports.
+//! The lab: runs the scheduler's decisions in virtual time and with real processes, and reports the results.
 #![allow(
     clippy::missing_errors_doc,
     clippy::missing_panics_doc,
     clippy::needless_pass_by_value,
     clippy::too_many_lines,
-    reason = "the test bed is still to be brought to these lints: docs/open.md"
+    reason = "the lab does not follow these lints yet: docs/open.md"
 )]
 
 pub mod capacity;
--- a/lab/src/stand_ins.rs
+++ b/lab/src/stand_ins.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what a scheduler meets, that do what they are told: workers, a bus, clients. Tests of one daemon
-//! use them, and the rig takes from here how things are written on the wire.
+//! Stand-ins for the peers of a scheduler, controlled by the test: workers, discovery, clients. Tests of one daemon
+//! use them, and the rig uses their encodings of wire messages.
 #![allow(
     clippy::unwrap_used,
     clippy::missing_panics_doc,
-    reason = "a stand-in that cannot be set up ends the test that asked for it"
+    reason = "a test whose stand-in cannot be set up has to fail"
 )]
 
 use serde_json::{Value, json};
@@ -17,16 +17,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// No wait of a test is longer; it ends a test that would hang, and decides nothing else.
+/// Timeout of every wait in a test. It only ends a test that would otherwise hang.
 pub const LONG: Duration = Duration::from_secs(20);
-/// A function that every test may call.
+/// Name of a function that every test may call.
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
 
-/// A stream of either kind.
+/// A TCP or Unix stream.
 pub trait Wire: Read + Write + Send {
-    /// Another handle of it.
+    /// Another handle of the same stream.
     fn clone_handle(&self) -> Box<dyn Wire>;
-    /// Ends it in both directions.
+    /// Shuts the stream down in both directions.
     fn end(&self);
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// A line that a worker was sent, and the connection to answer on.
+/// A line received by a worker, and the connection to answer on.
 pub struct ReceivedLine {
     /// The line.
     pub line: Value,
@@ -58,22 +58,22 @@
 }
 
 impl ReceivedLine {
-    /// Writes a line.
+    /// Sends a line.
     pub fn send_line(&mut self, answer: Value) {
         let _ = self.wire.write_all(format!("{answer}\n").as_bytes());
     }
 
-    /// Ends the connection.
+    /// Shuts down the connection.
     pub fn end(&self) {
         self.wire.end();
     }
 
-    /// Writes bytes as they are.
+    /// Sends raw bytes.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         let _ = self.wire.write_all(bytes);
     }
 
-    /// `go`, `halt`, `stage`, ... whichever wire it came by.
+    /// `go`, `halt`, `stage` and so on, for either protocol.
     pub fn verb(&self) -> &str {
         match self.line["verb"].as_str().or(self.line["method"].as_str()).unwrap() {
             "call" => "go",
@@ -83,13 +83,14 @@
         }
     }
 
-    /// The name under which an answer goes back.
+    /// The id that the answer has to carry.
     pub fn request_id(&self) -> String {
         let name = if self.line.get("verb").is_some() { &self.line["rid"] } else { &self.line["id"] };
         name.as_str().unwrap().to_owned()
     }
 
-    /// Answers in the words of its wire: a body, or a status of the agents' wire.
+    /// Answers in the protocol of the line: `status` is a verb of the workers' protocol, which JSON-RPC answers
+    /// translate.
     pub fn answer(&mut self, status: &str, content: &str) {
         let answer = match self.line.get("verb") {
             Some(_) => {
@@ -115,22 +116,22 @@
     }
 }
 
-/// Where a worker listens.
+/// Address on which a worker listens.
 pub enum WorkerAddress {
-    /// A worker.
+    /// TCP, for workers.
     Tcp(SocketAddr),
-    /// A checker.
+    /// A Unix socket, for checkers.
     Unix(PathBuf),
 }
 
-/// A worker that hands every line to the test.
+/// A worker that passes every received line to the test.
 pub struct Worker {
-    /// Where it listens.
+    /// Address on which it listens.
     pub at: WorkerAddress,
-    heard: Receiver<ReceivedLine>,
+    received: Receiver<ReceivedLine>,
 }
 
-fn hear(wire: Box<dyn Wire>, connection: usize, to: Sender<ReceivedLine>) {
+fn read_lines(wire: Box<dyn Wire>, connection: usize, to: Sender<ReceivedLine>) {
     thread::spawn(move || {
         let write = wire.clone_handle();
         for line in BufReader::new(wire).lines() {
@@ -144,54 +145,54 @@
 }
 
 impl Worker {
-    /// A worker.
+    /// Starts a worker on TCP.
     pub fn over_tcp() -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = WorkerAddress::Tcp(listener.local_addr().unwrap());
-        let (to, heard) = channel();
+        let (to, received) = channel();
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
-                hear(Box::new(stream.unwrap()), number, to.clone());
+                read_lines(Box::new(stream.unwrap()), number, to.clone());
             }
         });
-        Worker { at, heard }
+        Worker { at, received }
     }
 
-    /// A checker at a socket of this path.
+    /// Starts a checker on a Unix socket at this path.
     pub fn over_unix(path: &Path) -> Worker {
         let listener = UnixListener::bind(path).unwrap();
-        let (to, heard) = channel();
+        let (to, received) = channel();
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
-                hear(Box::new(stream.unwrap()), number, to.clone());
+                read_lines(Box::new(stream.unwrap()), number, to.clone());
             }
         });
-        Worker { at: WorkerAddress::Unix(path.to_owned()), heard }
+        Worker { at: WorkerAddress::Unix(path.to_owned()), received }
     }
 
-    /// The next line; orders to load are answered on the way, and counted.
+    /// Waits for the next line of any kind.
     pub fn next(&self) -> ReceivedLine {
-        self.heard.recv_timeout(LONG).expect("the worker hears something")
+        self.received.recv_timeout(LONG).expect("the worker receives a line")
     }
 
-    /// A line, if one has come.
+    /// Returns a line that has arrived, after a pause of 1 ms.
     pub fn poll(&self) -> Option<ReceivedLine> {
         thread::sleep(Duration::from_millis(1));
-        self.heard.try_recv().ok()
+        self.received.try_recv().ok()
     }
 
-    /// A worker's address.
+    /// The worker's TCP address.
     pub fn address(&self) -> SocketAddr {
-        let WorkerAddress::Tcp(address) = self.at else { panic!("an agent") };
+        let WorkerAddress::Tcp(address) = self.at else { panic!("a checker has no TCP address") };
         address
     }
 
-    /// Whether nothing has come that the daemon sent before it answered what the caller has just read.
+    /// Whether nothing has arrived that the daemon sent before the answer that the caller has just read.
     pub fn received_nothing(&self) -> bool {
-        self.heard.try_recv().is_err()
+        self.received.try_recv().is_err()
     }
 
-    /// Answers every line as `how` says, for as long as the test lasts; the lines are kept.
+    /// Answers every line as `how` says, for the rest of the test, and records the lines.
     pub fn serve(
         self,
         how: impl Fn(&ReceivedLine) -> Option<(&'static str, String)> + Send + 'static,
@@ -199,10 +200,10 @@
         let lines = Lines::default();
         let kept = lines.clone();
         thread::spawn(move || {
-            while let Ok(mut heard) = self.heard.recv() {
-                kept.0.lock().unwrap().push(heard.line.clone());
-                if let Some((status, content)) = how(&heard) {
-                    heard.answer(status, &content);
+            while let Ok(mut received) = self.received.recv() {
+                kept.0.lock().unwrap().push(received.line.clone());
+                if let Some((status, content)) = how(&received) {
+                    received.answer(status, &content);
                 }
             }
         });
@@ -210,15 +211,15 @@
     }
 }
 
-/// Lines that a worker was sent.
+/// Lines that a worker received.
 #[derive(Clone, Default)]
 pub struct Lines(pub Arc<Mutex<Vec<Value>>>);
 
-/// A folder of the test's own, removed with it.
+/// A folder of the test's own, removed when dropped.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
-    /// A new one.
+    /// Creates a new folder.
     pub fn new() -> Folder {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -227,7 +228,7 @@
         Folder(path)
     }
 
-    /// A path in it.
+    /// Path of this name in the folder.
     pub fn at(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
@@ -245,7 +246,7 @@
     }
 }
 
-/// A worker as the configuration tells of it.
+/// A worker's record, as the configuration contains it.
 pub fn worker_record(uid: u32, address: SocketAddr, state: &str) -> Value {
     json!({"uid": format!("s-{uid:08x}"), "endpoint": address.to_string(), "az": "a", "model": "std",
         "pod_group": 0, "state": state, "capacity_hint": 4, "boot_ms": 0})
@@ -267,7 +268,7 @@
             "loadsAnyway": 3.0, "loadPart": 0.3, "loadWaitNs": 10_000_000_000u64, "memoryMbByKind": [18432.0]}})
 }
 
-/// What the second address says to these bytes: the status, 0 for a close, and what follows the head.
+/// Sends bytes to the operator's HTTP address and returns the status, 0 if the connection was closed, and the body.
 pub fn send_operator_request(at: SocketAddr, bytes: &[u8]) -> (u16, String) {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
@@ -281,13 +282,13 @@
 /// A client of the binary front.
 pub struct FrameClient(pub TcpStream);
 
-/// A frame of the binary front.
+/// Encodes a frame of the binary front.
 pub fn frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = 5 + payload.len() as u32;
     [&length.to_be_bytes()[..], &[kind], &stream.to_be_bytes(), payload].concat()
 }
 
-/// The payload of a request, with these fields.
+/// Encodes the payload of a request with these fields.
 pub fn request(list: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = vec![list.len() as u8];
     for (name, value) in list {
@@ -300,7 +301,7 @@
     out
 }
 
-/// The payload of a plain call.
+/// Encodes the payload of a plain call.
 pub fn call(class: &str, reference: &str, allow: u64, body: &[u8]) -> Vec<u8> {
     let allow = allow.to_string();
     let list = [
@@ -315,20 +316,20 @@
 }
 
 impl FrameClient {
-    /// Connects to a daemon's door.
+    /// Connects to a daemon's client address.
     pub fn connect(at: SocketAddr) -> FrameClient {
         let stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         FrameClient(stream)
     }
 
-    /// Writes bytes.
+    /// Sends bytes.
     pub fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).unwrap();
     }
 
-    /// The next frame's type, stream and payload; none at the end.
-    #[expect(clippy::should_implement_trait, reason = "it waits, and is no sequence to go through")]
+    /// The next frame's type, stream and payload; `None` at the end of the stream.
+    #[expect(clippy::should_implement_trait, reason = "it blocks, and the type is no iterator")]
     pub fn next(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let mut head = [0; 4];
         self.0.read_exact(&mut head).ok()?;
@@ -349,17 +350,17 @@
         RpcClient(BufReader::new(stream))
     }
 
-    /// Writes a line.
+    /// Sends a line.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(format!("{text}\n").as_bytes()).unwrap();
     }
 
-    /// The next line.
-    #[expect(clippy::should_implement_trait, reason = "it waits, and is no sequence to go through")]
+    /// Waits for the next line.
+    #[expect(clippy::should_implement_trait, reason = "it blocks, and the type is no iterator")]
     pub fn next(&mut self) -> Value {
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
-        serde_json::from_str(&line).unwrap_or_else(|_| panic!("a line of JSON, not '{line}'"))
+        serde_json::from_str(&line).unwrap_or_else(|_| panic!("expected a line of JSON, received '{line}'"))
     }
 }
 
@@ -370,11 +371,11 @@
         "memory_mb": 512, "lanes": 2, "load_ms": 640, "body": body}})
 }
 
-/// Answers with the body it was sent; orders stand.
-pub fn echo(heard: &ReceivedLine) -> Option<(&'static str, String)> {
-    match heard.verb() {
+/// Answers calls with the body received, and load requests with success.
+pub fn echo(received: &ReceivedLine) -> Option<(&'static str, String)> {
+    match received.verb() {
         "go" => {
-            let line = &heard.line;
+            let line = &received.line;
             let body = line.get("content").or(line.pointer("/params/body")).unwrap().as_str().unwrap();
             Some(("200", body.to_owned()))
         }
@@ -383,7 +384,7 @@
     }
 }
 
-/// Counts of the words heard.
+/// Counts the lines by verb or method.
 pub fn count_by_verb(lines: &Lines) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for line in lines.0.lock().unwrap().iter() {
@@ -393,7 +394,7 @@
     counts
 }
 
-/// A bus that the test plays by hand.
+/// Discovery, controlled by the test.
 pub struct Bus(pub TcpListener);
 
 impl Default for Bus {
@@ -403,12 +404,12 @@
 }
 
 impl Bus {
-    /// A new one.
+    /// Listens on a new port.
     pub fn new() -> Bus {
         Bus(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// The next connection and the offset from which it wants to go on.
+    /// Accepts the next connection and reads the offset that it resumes from.
     pub fn accept(&self) -> (TcpStream, u64) {
         let (mut stream, _) = self.0.accept().unwrap();
         let mut offset = [0; 8];
@@ -417,10 +418,10 @@
     }
 }
 
-/// A change of one worker, as the bus writes it: state 0 ready, 1 draining, 2 gone; started at a Unix millisecond,
-/// or 0 for long ago.
+/// Encodes a change of one worker as discovery sends it: state 0 ready, 1 draining, 2 gone; `started` is the worker's
+/// start in Unix milliseconds, or 0 if that was long ago.
 pub fn change(offset: u64, id: u32, address: SocketAddr, state: u8, started: u64) -> Vec<u8> {
-    let SocketAddr::V4(address) = address else { panic!("the bus knows IPv4 only") };
+    let SocketAddr::V4(address) = address else { panic!("discovery supports IPv4 only") };
     let mut record = id.to_be_bytes().to_vec();
     record.extend(address.ip().octets());
     record.extend(address.port().to_be_bytes());
@@ -430,7 +431,7 @@
     [&(9 + record.len() as u32).to_be_bytes()[..], &offset.to_be_bytes(), &[2], &record].concat()
 }
 
-/// The same of a worker that has run for long.
+/// The same for a worker that has been running for a long time.
 pub fn event(offset: u64, id: u32, worker: &Worker, state: u8) -> Vec<u8> {
     change(offset, id, worker.address(), state, 0)
 }
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -1,11 +1,11 @@
-//! The soak on a few fixed seeds: one for each of its deadlines, with both graces among them.
+//! The soak test on a few fixed seeds, one for each deadline; both grace periods occur among them.
 
-#![allow(clippy::unwrap_used, reason = "a test that cannot go on ends there")]
+#![allow(clippy::unwrap_used, reason = "a test that cannot continue fails at once")]
 
 use lab::soak::{Options, run};
 
 #[test]
-fn no_rule_is_broken_on_the_fixed_seeds() {
+fn no_rule_is_violated_on_the_fixed_seeds() {
     let options = Options {
         seed: 102,
         seeds: 3,
@@ -17,5 +17,8 @@
         out: None,
         shrink: false,
     };
-    assert!(run(&options, env!("CARGO_BIN_EXE_lab").as_ref()).unwrap(), "see the lines above");
+    assert!(
+        run(&options, env!("CARGO_BIN_EXE_lab").as_ref()).unwrap(),
+        "a rule was violated, see the lines above"
+    );
 }
