--- a/lab/src/chains.rs
+++ b/lab/src/chains.rs
@@ -1,6 +1,6 @@
 //! Chains of a build check, a checker run and the record of credit, played three ways.
 
-use crate::fleet::{COPY_KEEP_ALIVE, Job, Worker};
+use crate::fleet::{INSTANCE_KEEP_ALIVE, Job, Worker};
 use mintgate::chain::estimate::{Estimates, PlannedStep};
 use mintgate::chain::{Chain, Step};
 use mintgate::core::{Command, Core, IncomingRequest, LoadResult, Owner, Reply, Verdict};
@@ -152,7 +152,7 @@
                             latency_objective: WANTED,
                             load_time,
                         };
-                        let need = self.estimates.need(now, &ahead, COPY_KEEP_ALIVE);
+                        let need = self.estimates.need(now, &ahead, INSTANCE_KEEP_ALIVE);
                         self.begun[chain] = (now, Duration(need.load.0 + need.run.0));
                     }
                     let plan = &self.plans[chain];
@@ -267,7 +267,7 @@
           "loadSpanNs": 5000000000, "loadsAnyway": 3, "loadPart": 0.3}}}}"#,
         allow = ALLOW.0,
         wanted = WANTED.0,
-        keep = COPY_KEEP_ALIVE.0,
+        keep = INSTANCE_KEEP_ALIVE.0,
     );
     let site = settings::read_site(site.as_bytes()).expect("the settings above");
     let count = plans.len();
--- a/lab/src/domain.rs
+++ b/lab/src/domain.rs
@@ -1,6 +1,7 @@
-//! A whole distribution domain in virtual time: replicas, relays and subscribers run the shipped machine on a network
-//! that fails as it is told to, and the domain plays the lease service. The [`Ledger`] holds every process at every step to
-//! the rules: no version goes back, nothing is in force that was not committed, the same version is the same records.
+//! A simulated distribution domain in virtual time: replicas, relays and subscribers run the production state machine on
+//! a network with injected faults, and the domain acts as the lease service. The [`Ledger`] checks invariants of every
+//! process at every step: versions never decrease, only committed versions are installed, and one version always has the
+//! same records.
 
 mod links;
 mod measure;
@@ -27,19 +28,19 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// How often the lease is renewed and looked after.
+/// How often the lease is renewed or reassigned.
 const LEASE_TICK: Duration = Duration(250_000_000);
-/// Changes of the first list that are given to the publisher at a time.
-const FILL_CHUNK: usize = 300;
-/// The longest that the first list may take to be published.
-const FILL_LIMIT: Duration = Duration(300_000_000_000);
+/// Changes of the initial list that are published in one batch.
+const INITIAL_BATCH_CHANGES: usize = 300;
+/// How long publishing the initial list may take.
+const INITIAL_PUBLISH_TIMEOUT: Duration = Duration(300_000_000_000);
 /// Name of the domain.
-const NAME: &str = "lab";
+const DOMAIN_NAME: &str = "lab";
 
-/// What a domain is like.
+/// Sizes and properties of a domain.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Control processes that hold the log.
+    /// Control processes that hold the replicated log.
     pub replicas: usize,
     /// Control processes that serve children.
     pub relays: usize,
@@ -47,11 +48,11 @@
     pub subscribers: usize,
     /// Regions; process `n` of a role is in region `n % regions`.
     pub regions: usize,
-    /// Zones of the workers; subscriber `n` wants the workers of zone `n % zones` and of the next ones.
+    /// Zones of the workers. Subscriber `n` subscribes to zone `n % zones` and the zones that follow it.
     pub zones: usize,
-    /// Zones that a subscriber wants.
+    /// Zones that a subscriber subscribes to.
     pub zones_per_subscriber: usize,
-    /// Workers, spread evenly over the zones.
+    /// Workers, distributed evenly over the zones.
     pub workers: usize,
     /// Classes.
     pub classes: usize,
@@ -59,13 +60,13 @@
     pub link: Link,
     /// Links between regions.
     pub inter_region_link: Link,
-    /// What a control process spends on catch-ups.
+    /// Bandwidth that a control process uses for catch-up.
     pub catch_up_bytes_per_second: u64,
-    /// For how long a lease is held without being renewed.
+    /// How long a lease lasts without renewal.
     pub term: Duration,
-    /// Roles whose check lets everything pass.
+    /// Roles that accept every change unchecked.
     pub unchecked_roles: Vec<Role>,
-    /// Everything that is drawn comes from it.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
@@ -92,27 +93,27 @@
     }
 }
 
-/// The check of the lab's processes: a worker has a weight, and a class is a JSON object.
+/// The content check of the simulated processes: a worker must have a weight, and a class must be a JSON object.
 pub struct LabCheck {
-    /// Everything passes.
+    /// Accepts every change.
     pub accept_all: bool,
 }
 
 impl ChangeCheck for LabCheck {
     fn check(&self, changes: &[Change]) -> Result<(), String> {
-        let bad = |change: &&Change| match &change.value {
+        let invalid = |change: &&Change| match &change.value {
             Some(Value::Worker(worker)) => worker.weight_milli == 0,
             Some(Value::Class(text)) => !text.starts_with('{'),
             Some(Value::Complete) | None => false,
         };
-        match changes.iter().find(bad).filter(|_| !self.accept_all) {
-            Some(change) => Err(format!("{:?} has no meaning", change.key)),
+        match changes.iter().find(invalid).filter(|_| !self.accept_all) {
+            Some(change) => Err(format!("{:?} is invalid", change.key)),
             None => Ok(()),
         }
     }
 }
 
-/// Who publishes, as the domain's lease service has it.
+/// The state of the publish lease at the lease service.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lease {
     automatic: bool,
@@ -121,7 +122,7 @@
     until: Timestamp,
 }
 
-/// See the module's page.
+/// A simulated domain.
 pub struct Domain {
     plan: Plan,
     network: Network<HollowNode>,
@@ -129,20 +130,20 @@
     links: Rc<RefCell<Links>>,
     rng: SmallRng,
     lease: Lease,
-    next_tick: Timestamp,
-    /// The last fence that each replica held since it started.
+    next_lease_tick: Timestamp,
+    /// The last fence under which each replica held the lease since its start.
     fences: BTreeMap<usize, u64>,
-    stopped: BTreeSet<SocketAddr>,
+    suspended: BTreeSet<SocketAddr>,
     starts: u64,
     tickets: u64,
-    /// What the publisher's source holds.
+    /// The content of the publisher's source.
     workers: BTreeMap<u64, WorkerRecord>,
     classes: BTreeMap<String, String>,
-    touched: u32,
+    modifications: u32,
     peaks: measure::Peaks,
 }
 
-/// The number of a process of any role: replicas come first, then relays, then subscribers.
+/// The address of a process by its number: replicas come first, then relays, then subscribers.
 fn address_of(number: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(0x7f00_0001 + number as u32), 9_300))
 }
@@ -155,28 +156,28 @@
 }
 
 impl Domain {
-    /// A domain whose processes have all just started, with nothing published.
+    /// Creates a domain in which all processes have just started and nothing is published.
     pub fn new(plan: Plan) -> Domain {
         let links = Rc::new(RefCell::new(Links::new(plan.regions, plan.inter_region_link)));
         let mut network = Network::new(plan.seed, plan.link);
-        let table = links.clone();
-        network.set_links(move |from, to| table.borrow().link(from, to));
+        let shared_links = links.clone();
+        network.set_links(move |from, to| shared_links.borrow().link(from, to));
         let replicas: Vec<SocketAddr> = (0..plan.replicas).map(address_of).collect();
         let mut domain = Domain {
             ledger: Rc::new(RefCell::new(Ledger::new(&replicas))),
             links,
             rng: SmallRng::seed_from_u64(plan.seed ^ 0x646f_6d61_696e),
             lease: Lease { automatic: true, ..Lease::default() },
-            next_tick: network.now(),
+            next_lease_tick: network.now(),
             fences: BTreeMap::new(),
-            stopped: BTreeSet::new(),
+            suspended: BTreeSet::new(),
             starts: 0,
             tickets: 0,
             workers: (0..plan.workers as u64)
                 .map(|worker| (worker, first_record(worker, plan.zones)))
                 .collect(),
             classes: (0..plan.classes).map(|class| (format!("class-{class}"), "{}".to_owned())).collect(),
-            touched: 0,
+            modifications: 0,
             peaks: measure::Peaks::default(),
             network,
             plan,
@@ -189,11 +190,11 @@
 
     /// Role and index of every process.
     pub fn all(&self) -> Vec<(Role, usize)> {
-        let each = |role, count| (0..count).map(move |index| (role, index));
+        let role_indices = |role, count| (0..count).map(move |index| (role, index));
         let plan = &self.plan;
-        each(Role::Replica, plan.replicas)
-            .chain(each(Role::Relay, plan.relays))
-            .chain(each(Role::Subscriber, plan.subscribers))
+        role_indices(Role::Replica, plan.replicas)
+            .chain(role_indices(Role::Relay, plan.relays))
+            .chain(role_indices(Role::Subscriber, plan.subscribers))
             .collect()
     }
 
@@ -202,17 +203,17 @@
         self.all().into_iter().filter(|(role, _)| *role != Role::Subscriber).collect()
     }
 
-    /// What the domain is like.
+    /// The plan that the domain was created with.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// The time.
+    /// The current virtual time.
     pub fn now(&self) -> Timestamp {
         self.network.now()
     }
 
-    /// Where a process listens.
+    /// The address of a process.
     pub fn address(&self, role: Role, index: usize) -> SocketAddr {
         address_of(match role {
             Role::Replica => index,
@@ -231,17 +232,17 @@
         self.network.processes().filter(move |(_, process)| process.role() == role)
     }
 
-    /// What was committed.
+    /// The record of what was committed.
     pub fn ledger(&self) -> std::cell::Ref<'_, Ledger> {
         self.ledger.borrow()
     }
 
-    /// Counts what goes from one process to another from now on; see [`Ledger::link_traffic`].
+    /// Counts the traffic from one process to another from now on; see [`Ledger::link_traffic`].
     pub fn watch_link(&mut self, from: SocketAddr, to: SocketAddr) {
         self.ledger.borrow_mut().watch_link(from, to);
     }
 
-    /// The topics that a subscriber wants.
+    /// The topics that a subscriber subscribes to.
     pub fn interest(&self, index: usize) -> Interest {
         let zones = self.plan.zones;
         let mut topics: Vec<Topic> = (0..self.plan.zones_per_subscriber.min(zones))
@@ -261,11 +262,11 @@
         }
     }
 
-    /// Starts a process with nothing; one that ran in its place is gone.
+    /// Starts a process without state, replacing one that ran in its place.
     pub fn start(&mut self, role: Role, index: usize) {
         let at = self.address(role, index);
         self.starts += 1;
-        let setting = DistributionConfig {
+        let config = DistributionConfig {
             role,
             own_address: at,
             interest: if role == Role::Subscriber { self.interest(index) } else { Interest::All },
@@ -280,82 +281,83 @@
             ledger.started(at);
             self.fences.remove(&index);
         }
-        self.stopped.remove(&at);
+        self.suspended.remove(&at);
         let process = Process { index: number_of(at) as u32, incarnation: self.starts };
         let check = Box::new(LabCheck { accept_all: self.plan.unchecked_roles.contains(&role) });
-        let fleet = message::fleet(NAME, &[]);
-        let node = HollowNode::new(self.now(), fleet, process, setting, check, self.ledger.clone());
+        let fleet = message::fleet(DOMAIN_NAME, &[]);
+        let node = HollowNode::new(self.now(), fleet, process, config, check, self.ledger.clone());
         self.network.start(at, node);
     }
 
-    /// Kills a process; what it knew is lost.
+    /// Kills a process. Its state is lost.
     pub fn kill(&mut self, role: Role, index: usize) {
         let at = self.address(role, index);
-        self.stopped.remove(&at);
+        self.suspended.remove(&at);
         if self.network.kill(at).is_some() && role == Role::Replica {
             self.ledger.borrow_mut().killed(at);
         }
     }
 
-    /// Stops a process as SIGSTOP does, or continues it.
-    pub fn set_suspended(&mut self, role: Role, index: usize, stopped: bool) {
+    /// Suspends a process as SIGSTOP does, or resumes it.
+    pub fn set_suspended(&mut self, role: Role, index: usize, suspended: bool) {
         let at = self.address(role, index);
-        if stopped {
-            self.stopped.insert(at);
+        if suspended {
+            self.suspended.insert(at);
         } else {
-            self.stopped.remove(&at);
+            self.suspended.remove(&at);
         }
-        self.network.set_suspended(at, stopped);
+        self.network.set_suspended(at, suspended);
     }
 
-    /// From now on processes reach only those that are named together with them; all that are not named reach each other.
+    /// Partitions the network: processes reach only those on the same side. All unlisted processes reach each other.
     pub fn partition(&mut self, sides: &[Vec<(Role, usize)>]) {
-        let mut table = BTreeMap::new();
+        let mut sides_by_address = BTreeMap::new();
         for (number, side) in sides.iter().enumerate() {
-            table.extend(side.iter().map(|(role, index)| (self.address(*role, *index), number + 1)));
+            sides_by_address
+                .extend(side.iter().map(|(role, index)| (self.address(*role, *index), number + 1)));
         }
-        self.links.borrow_mut().sides = table.into_iter().collect();
+        self.links.borrow_mut().sides = sides_by_address.into_iter().collect();
     }
 
-    /// All processes reach each other again, and no link is ill.
+    /// Removes all partitions and link impairments.
     pub fn restore_links(&mut self) {
         let mut links = self.links.borrow_mut();
         *links = Links::new(links.regions, links.inter_region_link);
     }
 
-    /// One link from now on, in one direction.
+    /// Sets one link, in one direction.
     pub fn set_link(&mut self, from: SocketAddr, to: SocketAddr, link: Link) {
         self.links.borrow_mut().pairs.insert((from, to), link);
     }
 
-    /// All links of a process from now on, in both directions.
+    /// Sets all links of a process, in both directions.
     pub fn set_links_of(&mut self, role: Role, index: usize, link: Link) {
         let at = self.address(role, index);
         self.links.borrow_mut().processes.insert(at, link);
     }
 
-    /// All links inside regions from now on.
+    /// Sets all links inside regions.
     pub fn set_all_links(&mut self, link: Link) {
         self.links.borrow_mut().all = Some(link);
     }
 
-    /// Whether the domain looks after the publish lease by itself, as it does at first: one holder, which can reach a
-    /// majority, and another a term after that ended.
+    /// Sets whether the domain manages the publish lease by itself, as it does initially. It then renews the lease of a
+    /// holder that reaches a majority, and grants it to another replica once that lease has expired.
     pub fn set_lease_managed(&mut self, automatic: bool) {
         self.lease.automatic = automatic;
     }
 
-    /// The replica that holds the publish lease, as the lease service has it.
+    /// The replica that holds the publish lease according to the lease service.
     pub fn holder(&self) -> Option<usize> {
         self.lease.holder.filter(|_| self.now() < self.lease.until)
     }
 
-    /// When the lease that was given out last ends, or ended.
+    /// When the lease that was granted last expires, or expired.
     pub fn lease_until(&self) -> Timestamp {
         self.lease.until
     }
 
-    /// The last fence that was given out.
+    /// The last fence that was granted.
     pub fn fence(&self) -> u64 {
         self.lease.fence
     }
@@ -365,8 +367,8 @@
         self.fences.get(&index).copied()
     }
 
-    /// Gives a replica the lease for so long, under the next fence. Whoever held it before isn't told: a process that is
-    /// stopped or that the lease service can't reach goes on believing what it was told last.
+    /// Grants a replica the lease for `span`, under the next fence. The previous holder is not notified: a process that is
+    /// suspended or unreachable for the lease service keeps acting on its last notification.
     pub fn grant(&mut self, index: usize, span: Duration) -> u64 {
         self.lease.fence += 1;
         let until = self.now() + span;
@@ -377,15 +379,15 @@
         self.lease.fence
     }
 
-    /// Has a replica believe that it holds the lease, or that it doesn't, whatever the lease service has.
+    /// Notifies a replica that it holds the lease, or that it doesn't, regardless of the lease service's state.
     pub fn notify_lease(&mut self, index: usize, grant: Option<LeaseGrant>) {
         let at = self.address(Role::Replica, index);
         self.network.with_process(at, |node, now| node.handle(now, DistributionInput::Lease(grant)));
     }
 
-    fn up(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         let at = self.address(Role::Replica, index);
-        self.network.process(at).is_some() && !self.stopped.contains(&at)
+        self.network.process(at).is_some() && !self.suspended.contains(&at)
     }
 
     fn reaches_majority(&self, index: usize) -> bool {
@@ -393,30 +395,30 @@
         let links = self.links.borrow();
         let reached = |other: &usize| {
             let other_at = address_of(*other);
-            self.up(*other) && links.reaches(at, other_at) && links.reaches(other_at, at)
+            self.is_running(*other) && links.reaches(at, other_at) && links.reaches(other_at, at)
         };
-        self.up(index) && 2 * (0..self.plan.replicas).filter(reached).count() > self.plan.replicas
+        self.is_running(index) && 2 * (0..self.plan.replicas).filter(reached).count() > self.plan.replicas
     }
 
     fn tick_lease(&mut self) {
         let now = self.now();
-        if !self.lease.automatic || now < self.next_tick {
+        if !self.lease.automatic || now < self.next_lease_tick {
             return;
         }
-        self.next_tick = now + LEASE_TICK;
-        let held = now < self.lease.until;
+        self.next_lease_tick = now + LEASE_TICK;
+        let still_held = now < self.lease.until;
         if let Some(index) = self.lease.holder {
-            // One that started again is another process: it does not hold what the one before it held.
-            let same = self.fence_of(index) == Some(self.lease.fence);
-            if held && same && self.reaches_majority(index) {
+            // A restarted replica is another process and does not hold the lease of its predecessor.
+            let is_same_process = self.fence_of(index) == Some(self.lease.fence);
+            if still_held && is_same_process && self.reaches_majority(index) {
                 self.lease.until = now + self.plan.term;
                 let grant = LeaseGrant { fence: self.lease.fence, until: self.lease.until };
                 return self.notify_lease(index, Some(grant));
             }
-            if held {
+            if still_held {
                 return;
             }
-            if same && self.up(index) {
+            if is_same_process && self.is_running(index) {
                 self.notify_lease(index, None);
             }
         }
@@ -429,13 +431,13 @@
         }
     }
 
-    /// Plays for so long.
+    /// Runs the domain for `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now() + span;
         loop {
             self.tick_lease();
-            let tick = if self.lease.automatic { self.next_tick } else { end };
-            let next = tick.min(self.peaks.due(self.now())).min(end);
+            let next_stop = if self.lease.automatic { self.next_lease_tick } else { end };
+            let next = next_stop.min(self.peaks.due(self.now())).min(end);
             self.network.run_until(next);
             self.count_peaks();
             if next >= end {
@@ -444,7 +446,7 @@
         }
     }
 
-    /// Plays until this holds, looking every `step`; says whether it came to hold within the limit.
+    /// Runs until the condition holds, checking it every `step`. Returns whether it held within the limit.
     pub fn run_until(&mut self, step: Duration, limit: Duration, holds: impl Fn(&Domain) -> bool) -> bool {
         let end = self.now() + limit;
         while !holds(self) {
@@ -456,12 +458,12 @@
         true
     }
 
-    /// Gives changes to the replica that holds the lease; the ticket under which [`Domain::outcome`] tells what came of it.
+    /// Submits changes to the replica that holds the lease. Returns the ticket for [`Domain::outcome`].
     pub fn publish(&mut self, changes: Vec<Change>) -> u64 {
         match self.holder() {
             Some(index) => self.publish_at(index, changes),
             None => {
-                let ticket = self.ask(changes);
+                let ticket = self.record_request(changes);
                 let now = self.now();
                 self.ledger.borrow_mut().published(now, ticket, Err(PublishError::NotPublisher));
                 ticket
@@ -469,30 +471,30 @@
         }
     }
 
-    /// Gives changes to this replica.
+    /// Submits changes to this replica.
     pub fn publish_at(&mut self, index: usize, changes: Vec<Change>) -> u64 {
-        let ticket = self.ask(changes.clone());
+        let ticket = self.record_request(changes.clone());
         let at = self.address(Role::Replica, index);
         self.network
             .with_process(at, |node, now| node.handle(now, DistributionInput::Publish { ticket, changes }));
         ticket
     }
 
-    fn ask(&mut self, changes: Vec<Change>) -> u64 {
+    fn record_request(&mut self, changes: Vec<Change>) -> u64 {
         self.tickets += 1;
         let now = self.now();
         self.ledger.borrow_mut().request(self.tickets, now, changes);
         self.tickets
     }
 
-    /// What came of a publication, once it is known.
+    /// The outcome of a publication, once it is known.
     pub fn outcome(&self, ticket: u64) -> Option<Result<Version, PublishError>> {
         let ledger = self.ledger.borrow();
         let (_, outcome) = ledger.publication(ticket)?.outcome.as_ref()?;
         Some(outcome.clone())
     }
 
-    /// Publishes and plays until it is known what came of it, for ten seconds at most.
+    /// Publishes and runs until the outcome is known, for ten seconds at most.
     pub fn publish_now(&mut self, changes: Vec<Change>) -> Option<Result<Version, PublishError>> {
         let ticket = self.publish(changes);
         self.run_until(Duration::millis(1), Duration::millis(10_000), |domain| {
@@ -501,18 +503,21 @@
         self.outcome(ticket)
     }
 
-    /// Publishes all that the source holds, and then that it is whole.
+    /// Publishes the content of the source, followed by the marker that it is complete.
     pub fn publish_all(&mut self) -> Result<Version, String> {
         let complete = Change { topic: Topic::SETTINGS, key: Key::Complete, value: Some(Value::Complete) };
         let classes = self.classes.iter().map(|(name, text)| class_change(name, Some(text.clone())));
         let workers = self.workers.iter().map(|(worker, record)| worker_change(*worker, *record));
         let all: Vec<Change> = classes.chain(workers).chain([complete]).collect();
-        let end = self.now() + FILL_LIMIT;
+        let end = self.now() + INITIAL_PUBLISH_TIMEOUT;
         let mut last = Err("nothing to publish".to_owned());
-        for chunk in all.chunks(FILL_CHUNK) {
+        for chunk in all.chunks(INITIAL_BATCH_CHANGES) {
             loop {
                 if self.now() >= end {
-                    return Err(format!("not published within {} s: {last:?}", FILL_LIMIT.secs()));
+                    return Err(format!(
+                        "not published within {} s: {last:?}",
+                        INITIAL_PUBLISH_TIMEOUT.secs()
+                    ));
                 }
                 match self.publish_now(chunk.to_vec()) {
                     Some(Ok(version)) => {
@@ -527,18 +532,18 @@
         last
     }
 
-    /// Whether all running processes have the last committed version in force.
+    /// Whether all running processes have installed the last committed version.
     pub fn all_have_head(&self) -> bool {
         let head = self.ledger.borrow().head();
         self.network.processes().all(|(_, process)| process.node().version() == head)
     }
 
-    /// Plays until [`Domain::all_have_head`], and says whether that came within the limit.
+    /// Runs until [`Domain::all_have_head`]. Returns whether that held within the limit.
     pub fn settle(&mut self, limit: Duration) -> bool {
         self.run_until(Duration::millis(100), limit, Domain::all_have_head)
     }
 
-    /// New content for so many workers of the source, drawn.
+    /// Modifies `count` randomly chosen workers of the source and returns the changes.
     pub fn modify_workers(&mut self, count: usize) -> Vec<Change> {
         (0..count)
             .map(|_| {
@@ -548,17 +553,17 @@
             .collect()
     }
 
-    /// New content for a worker of the source.
+    /// Modifies a worker of the source and returns the change.
     pub fn modify_worker(&mut self, worker: u64) -> Change {
-        self.touched += 1;
+        self.modifications += 1;
         let zones = self.plan.zones;
         let record = self.workers.entry(worker).or_insert_with(|| first_record(worker, zones));
-        record.weight_milli = 1_000 + self.touched;
+        record.weight_milli = 1_000 + self.modifications;
         record.draining = !record.draining;
         worker_change(worker, *record)
     }
 
-    /// Takes a worker off the source.
+    /// Removes a worker from the source and returns the change.
     pub fn remove_worker(&mut self, worker: u64) -> Option<Change> {
         let record = self.workers.remove(&worker)?;
         Some(Change { topic: topic_of(&Value::Worker(record)), key: Key::Worker(worker), value: None })
@@ -572,7 +577,7 @@
         ledger.violations().iter().cloned().chain(lost).collect()
     }
 
-    /// How long after `since` a version was in force at the running subscribers that pass.
+    /// How long after `since` a version was installed at the running subscribers that match the filter.
     pub fn propagation(
         &self,
         since: Timestamp,
@@ -584,13 +589,13 @@
         Propagation::new(spans.collect())
     }
 
-    /// How long after it was asked for a publication was in force at the running subscribers that it is of interest to.
+    /// How long after its submission a publication was installed at the running subscribers that are interested in it.
     pub fn propagation_of(&self, ticket: u64) -> Option<Propagation> {
         let ledger = self.ledger.borrow();
-        let asked = ledger.publication(ticket)?;
-        let (_, Ok(version)) = asked.outcome.as_ref()? else { return None };
-        let topics: BTreeSet<Topic> = asked.changes.iter().map(|change| change.topic).collect();
-        Some(self.propagation(asked.at, *version, |_, node| {
+        let publication = ledger.publication(ticket)?;
+        let (_, Ok(version)) = publication.outcome.as_ref()? else { return None };
+        let topics: BTreeSet<Topic> = publication.changes.iter().map(|change| change.topic).collect();
+        Some(self.propagation(publication.at, *version, |_, node| {
             topics.iter().any(|topic| node.interest().covers(*topic))
         }))
     }
@@ -615,13 +620,13 @@
     }
 }
 
-/// A worker's record, set.
+/// The change that sets a worker's record.
 pub fn worker_change(worker: u64, record: WorkerRecord) -> Change {
     let value = Value::Worker(record);
     Change { topic: topic_of(&value), key: Key::Worker(worker), value: Some(value) }
 }
 
-/// A class, set or removed.
+/// The change that sets or removes a class.
 pub fn class_change(name: &str, text: Option<String>) -> Change {
     Change { topic: Topic::SETTINGS, key: Key::Class(name.to_owned()), value: text.map(Value::Class) }
 }
--- a/lab/src/domain/links.rs
+++ b/lab/src/domain/links.rs
@@ -4,12 +4,13 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// See the module's page. What is named more closely counts.
+/// The link between two processes; the most specific entry applies.
 pub(super) struct Links {
-    /// Regions, and a link between two of them. Process `n` is in region `n % regions`.
+    /// Number of regions. Process `n` is in region `n % regions`.
     pub(super) regions: usize,
+    /// The link between processes of different regions.
     pub(super) inter_region_link: Link,
-    /// Processes that reach only those of the same side; who is not named is on side 0.
+    /// The partition side of each process; processes reach only their own side. Unlisted processes are on side 0.
     pub(super) sides: HashMap<SocketAddr, usize>,
     pub(super) processes: HashMap<SocketAddr, Link>,
     pub(super) pairs: HashMap<(SocketAddr, SocketAddr), Link>,
--- a/lab/src/domain/measure.rs
+++ b/lab/src/domain/measure.rs
@@ -1,4 +1,4 @@
-//! What a domain's processes send, how fast versions reach them, and whether they hold what they say.
+//! Measurements of a domain: traffic of its processes, propagation time of versions, and comparison of records.
 
 use super::{Domain, Role};
 use crate::hollow::HollowNode;
@@ -9,158 +9,164 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long a version took to be in force at some processes.
+/// How long a version took until it was installed at a set of processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Propagation {
-    /// Of how many.
+    /// Number of processes.
     pub of: usize,
-    /// Those where it isn't in force.
+    /// Processes that have not installed it.
     pub missing: usize,
-    /// At half of those that have it.
+    /// Median of those that have installed it.
     pub median: Duration,
-    /// At 99 in 100 of those that have it.
+    /// 99th percentile of those that have installed it.
     pub percentile_99: Duration,
-    /// At the last of those that have it.
+    /// Maximum of those that have installed it.
     pub last: Duration,
 }
 
 impl Propagation {
     pub(super) fn new(spans: Vec<Option<Duration>>) -> Propagation {
-        let mut reached: Vec<Duration> = spans.iter().flatten().copied().collect();
-        reached.sort();
-        let rank = |part: f64| {
-            let rank = (reached.len() as f64 * part).ceil() as usize;
-            reached.get(rank.saturating_sub(1)).copied().unwrap_or_default()
+        let mut sorted: Vec<Duration> = spans.iter().flatten().copied().collect();
+        sorted.sort();
+        let quantile = |part: f64| {
+            let rank = (sorted.len() as f64 * part).ceil() as usize;
+            sorted.get(rank.saturating_sub(1)).copied().unwrap_or_default()
         };
         Propagation {
             of: spans.len(),
-            missing: spans.len() - reached.len(),
-            median: rank(0.5),
-            percentile_99: rank(0.99),
-            last: rank(1.0),
+            missing: spans.len() - sorted.len(),
+            median: quantile(0.5),
+            percentile_99: quantile(0.99),
+            last: quantile(1.0),
         }
     }
 }
 
-/// What processes of a role sent and received, for each second and process.
+/// Traffic of the processes of a role, sent plus received, per second and process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrafficRate {
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Bytes: mean of the processes.
+    /// Bytes per second, mean of the processes.
     pub bytes: f64,
-    /// Bytes: the most of all.
+    /// Bytes per second, maximum of the processes.
     pub bytes_max: f64,
-    /// Datagrams: mean of the processes.
+    /// Datagrams per second, mean of the processes.
     pub datagrams: f64,
-    /// Datagrams: the most of all.
+    /// Datagrams per second, maximum of the processes.
     pub datagrams_max: f64,
 }
 
-/// What control processes sent in their busiest second.
+/// Bytes that each control process sent in its busiest second.
 #[derive(Default)]
 pub(super) struct Peaks {
     since: Timestamp,
     sent: BTreeMap<SocketAddr, u64>,
-    most: BTreeMap<SocketAddr, u64>,
+    max: BTreeMap<SocketAddr, u64>,
 }
 
-const SECOND: Duration = Duration(1_000_000_000);
+const PEAK_INTERVAL: Duration = Duration(1_000_000_000);
 
 impl Peaks {
     pub(super) fn due(&self, now: Timestamp) -> Timestamp {
-        (self.since + SECOND).max(now + Duration(1))
+        (self.since + PEAK_INTERVAL).max(now + Duration(1))
     }
 }
 
 impl Domain {
     pub(super) fn count_peaks(&mut self) {
         let now = self.now();
-        if now.0 < self.peaks.since.0 + SECOND.0 {
+        if now.0 < self.peaks.since.0 + PEAK_INTERVAL.0 {
             return;
         }
-        let first = self.peaks.since.0 + 2 * SECOND.0 < now.0;
+        let skipped = self.peaks.since.0 + 2 * PEAK_INTERVAL.0 < now.0;
         self.peaks.since = now;
         for (role, index) in self.control() {
             let at = self.address(role, index);
             let sent = self.network.traffic(at).bytes_sent;
             let before = self.peaks.sent.insert(at, sent).filter(|before| *before <= sent).unwrap_or(0);
-            let most = self.peaks.most.entry(at).or_default();
-            if !first {
-                *most = (*most).max(sent - before);
+            let max = self.peaks.max.entry(at).or_default();
+            if !skipped {
+                *max = (*max).max(sent - before);
             }
         }
     }
 
     /// Bytes that each control process sent in its busiest second since [`Domain::reset_peaks`].
     pub fn peaks(&self) -> &BTreeMap<SocketAddr, u64> {
-        &self.peaks.most
+        &self.peaks.max
     }
 
-    /// Starts to count peaks anew.
+    /// Discards the peaks counted so far.
     pub fn reset_peaks(&mut self) {
-        self.peaks.most.clear();
+        self.peaks.max.clear();
     }
 
-    /// What each process has sent and received since its start.
+    /// Traffic of each process since its start.
     pub fn traffic(&self) -> BTreeMap<SocketAddr, Traffic> {
         self.network.processes().map(|(at, _)| (at, self.network.traffic(at))).collect()
     }
 
-    /// Plays for so long, and says what processes of each role, in the order replicas, relays, subscribers, sent and received.
-    /// Processes that start or end meanwhile don't count.
+    /// Runs for `span` and returns the traffic rates of replicas, relays and subscribers, in this order. Processes that
+    /// start or end meanwhile are excluded.
     pub fn measure(&mut self, span: Duration) -> [TrafficRate; 3] {
         let before = self.traffic();
         self.run(span);
         let after = self.traffic();
         [Role::Replica, Role::Relay, Role::Subscriber].map(|role| {
-            let spent = self.running(role).filter_map(|(at, _)| Some((before.get(&at)?, after.get(&at)?)));
-            load(spent, span.secs())
+            let traffic_pairs =
+                self.running(role).filter_map(|(at, _)| Some((before.get(&at)?, after.get(&at)?)));
+            traffic_rate(traffic_pairs, span.secs())
         })
     }
 }
 
-fn load<'a>(spent: impl Iterator<Item = (&'a Traffic, &'a Traffic)>, seconds: f64) -> TrafficRate {
+fn traffic_rate<'a>(
+    traffic_pairs: impl Iterator<Item = (&'a Traffic, &'a Traffic)>,
+    seconds: f64,
+) -> TrafficRate {
     let bytes = |traffic: &Traffic| traffic.bytes_sent + traffic.bytes_received;
     let datagrams = |traffic: &Traffic| traffic.datagrams_sent + traffic.datagrams_received;
-    let mut load = TrafficRate::default();
-    for (before, after) in spent {
+    let mut rate = TrafficRate::default();
+    for (before, after) in traffic_pairs {
         let bytes = bytes(after).saturating_sub(bytes(before)) as f64 / seconds;
         let datagrams = datagrams(after).saturating_sub(datagrams(before)) as f64 / seconds;
-        load.processes += 1;
-        load.bytes += bytes;
-        load.datagrams += datagrams;
-        load.bytes_max = load.bytes_max.max(bytes);
-        load.datagrams_max = load.datagrams_max.max(datagrams);
+        rate.processes += 1;
+        rate.bytes += bytes;
+        rate.datagrams += datagrams;
+        rate.bytes_max = rate.bytes_max.max(bytes);
+        rate.datagrams_max = rate.datagrams_max.max(datagrams);
     }
-    let count = load.processes.max(1) as f64;
-    load.bytes /= count;
-    load.datagrams /= count;
-    load
+    let count = rate.processes.max(1) as f64;
+    rate.bytes /= count;
+    rate.datagrams /= count;
+    rate
 }
 
-fn wanted(interest: &Interest) -> Option<Vec<Topic>> {
+fn subscribed_topics(interest: &Interest) -> Option<Vec<Topic>> {
     match interest {
         Interest::All => None,
         Interest::Topics(topics) => Some(topics.clone()),
     }
 }
 
-/// Holds the records at every process against those that were committed as its version.
+/// Compares the records at every process with those committed as its version.
 pub(super) fn compare_records(network: &Network<HollowNode>, ledger: &mut Ledger) {
     let mut committed: BTreeMap<(Version, Option<Vec<Topic>>), Option<Records>> = BTreeMap::new();
     for (at, process) in network.processes() {
         let (version, interest) = (process.node().version(), process.interest());
         let expected = committed
-            .entry((version, wanted(interest)))
+            .entry((version, subscribed_topics(interest)))
             .or_insert_with(|| ledger.records_at(version, interest));
         let records = records_of(process.node());
         if expected.as_ref() != Some(&records) {
-            ledger.record_violation(format!("{at} does not hold at {version:?} what was committed"));
+            ledger.record_violation(format!("{at} does not hold the committed records of {version:?}"));
         }
         let hashes = records.iter().map(|((topic, key), value)| hash_of(*topic, key, value));
         if hashes.fold(0, u64::wrapping_add) != process.node().digest() {
-            ledger.record_violation(format!("{at} has another digest at {version:?} than its records"));
+            ledger.record_violation(format!(
+                "{at} has a digest at {version:?} that does not match its records"
+            ));
         }
     }
 }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,38 +1,38 @@
-//! Workers in virtual time: they hold instances for a while, load what they lack, and queue.
+//! Simulated workers: they keep function instances loaded for a while, load missing ones, and queue calls.
 
 use mintgate::core::AttemptId;
 use mintgate::{Duration, FunctionId, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Calls that a worker runs at a time.
+/// Calls that a worker runs concurrently.
 const MAX_RUNNING_CALLS: usize = 6;
-/// An idle copy is gone after this.
-pub const COPY_KEEP_ALIVE: Duration = Duration::millis(9_000);
+/// How long an idle instance stays loaded.
+pub const INSTANCE_KEEP_ALIVE: Duration = Duration::millis(9_000);
 
-/// A call at a worker.
+/// A call sent to a worker.
 #[derive(Clone, Copy)]
 pub struct Job {
-    /// The attempt that it belongs to.
+    /// The attempt that it executes.
     pub attempt: AttemptId,
-    /// The function.
+    /// The function called.
     pub function: FunctionId,
-    /// How long it runs.
+    /// Execution time.
     pub work: Duration,
-    /// How long a load takes.
+    /// Time to load an instance.
     pub load: Duration,
 }
 
-/// One worker.
+/// A worker with its loaded instances and its queue.
 #[derive(Default)]
 pub struct Worker {
-    /// Until when a copy loaded.
+    /// Until when an instance of each function stays loaded.
     instances: BTreeMap<FunctionId, Timestamp>,
     queue: VecDeque<Job>,
     running: usize,
 }
 
 impl Worker {
-    /// A call has come; when it will have ended, if it starts now.
+    /// Accepts a call. Returns its end if it starts now, `None` if it is queued.
     pub fn accept(&mut self, now: Timestamp, job: Job) -> Option<(Timestamp, Job)> {
         if self.running >= MAX_RUNNING_CALLS {
             self.queue.push_back(job);
@@ -45,24 +45,24 @@
         self.running += 1;
         let loaded = self.instances.get(&job.function).is_some_and(|until| *until > now);
         let end = now + Duration(job.work.0 + if loaded { 0 } else { job.load.0 });
-        self.instances.insert(job.function, end + COPY_KEEP_ALIVE);
+        self.instances.insert(job.function, end + INSTANCE_KEEP_ALIVE);
         (end, job)
     }
 
-    /// A call has ended; the next that starts, with its end.
+    /// Ends a running call. Returns the queued call that starts instead, with its end.
     pub fn finish(&mut self, now: Timestamp) -> Option<(Timestamp, Job)> {
         self.running -= 1;
         self.queue.pop_front().map(|job| self.run(now, job))
     }
 
-    /// Nobody waits for a call any more: it is dropped if it has not begun.
+    /// Drops a cancelled call if it has not started.
     pub fn abort(&mut self, attempt: AttemptId) {
         self.queue.retain(|job| job.attempt != attempt);
     }
 
-    /// An order to load: the copy loaded after the load.
+    /// Handles a load request: the instance is loaded after `load`.
     pub fn load(&mut self, now: Timestamp, function: FunctionId, load: Duration) {
         let until = self.instances.entry(function).or_insert(Timestamp(0));
-        *until = (*until).max(now + load + COPY_KEEP_ALIVE);
+        *until = (*until).max(now + load + INSTANCE_KEEP_ALIVE);
     }
 }
--- a/lab/src/hollow.rs
+++ b/lab/src/hollow.rs
@@ -1,5 +1,5 @@
-//! A process of a distribution domain without sockets or a clock: the shipped [`DistributionNode`] behind the shipped datagram codec,
-//! so that the bytes counted are real. Whatever comes into force at it is told to the [`Ledger`].
+//! A process of a distribution domain without sockets or a clock: the production [`DistributionNode`] behind the
+//! production datagram codec, so that the counted bytes are real. It reports every version it installs to the [`Ledger`].
 
 use crate::ledger::Ledger;
 use crate::network::{Outgoing, Process};
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// See the module's page.
+/// A simulated process of a distribution domain, with its measurements.
 pub struct HollowNode {
     node: DistributionNode,
     at: SocketAddr,
@@ -35,20 +35,20 @@
 }
 
 impl HollowNode {
-    /// A process that starts now.
+    /// Creates a process that starts now.
     pub fn new(
         now: Timestamp,
         fleet: u64,
         process: fleet::Process,
-        setting: DistributionConfig,
+        config: DistributionConfig,
         check: Box<dyn distribution::ChangeCheck>,
         ledger: Rc<RefCell<Ledger>>,
     ) -> HollowNode {
-        let begun = Instant::now();
+        let started = Instant::now();
         HollowNode {
-            at: setting.own_address,
-            role: setting.role,
-            interest: setting.interest.clone(),
+            at: config.own_address,
+            role: config.role,
+            interest: config.interest.clone(),
             process,
             fleet,
             grant: None,
@@ -59,81 +59,81 @@
             parents: vec![],
             pages: 0,
             changes: 0,
-            node: DistributionNode::new(now, setting, check),
-            busy_time: begun.elapsed(),
+            node: DistributionNode::new(now, config, check),
+            busy_time: started.elapsed(),
         }
     }
 
-    /// The shipped machine.
+    /// The production state machine.
     pub fn node(&self) -> &DistributionNode {
         &self.node
     }
 
-    /// Its role.
+    /// The role in the domain.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// What it wants.
+    /// The topics that it subscribes to.
     pub fn interest(&self) -> &Interest {
         &self.interest
     }
 
-    /// What came into force here, and when; versions rise.
+    /// Installed versions in ascending order, and when each was installed.
     pub fn installs(&self) -> &[(Timestamp, Version)] {
         &self.installs
     }
 
-    /// When this version or a later one came into force here.
+    /// When this version or a later one was installed.
     pub fn in_force(&self, version: Version) -> Option<Timestamp> {
         let first = self.installs.partition_point(|(_, installed)| *installed < version);
         self.installs.get(first).map(|(at, _)| *at)
     }
 
-    /// Versions that did not pass the checks here, and why.
+    /// Versions that failed the checks here, and why.
     pub fn refusals(&self) -> &[(Timestamp, Version, String)] {
         &self.refusals
     }
 
-    /// Parents that were followed, and since when.
+    /// The parents that it has used, and since when.
     pub fn parents(&self) -> &[(Timestamp, Option<SocketAddr>)] {
         &self.parents
     }
 
-    /// Pages with changes that have come.
+    /// Received pages that contained changes.
     pub fn pages(&self) -> u64 {
         self.pages
     }
 
-    /// Changes that came into force here, each time that they did.
+    /// Installed changes; a change installed twice counts twice.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Time in the machine's own calls and in the codec, by this computer's clock. It decides nothing.
+    /// Wall time spent in the state machine and the codec. It influences nothing in the simulation.
     pub fn busy_time(&self) -> std::time::Duration {
         self.busy_time
     }
 
-    /// Has the machine take in an event, and does what it says.
+    /// Passes an event to the state machine and carries out its outputs.
     pub fn handle(&mut self, now: Timestamp, event: DistributionInput) -> Outgoing {
         if let DistributionInput::Lease(grant) = &event {
             self.grant = *grant;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let outputs = self.node.handle(now, event);
-        self.busy_time += begun.elapsed();
+        self.busy_time += started.elapsed();
         let mut outgoing = vec![];
         let last = outputs.iter().rposition(|output| matches!(output, DistributionOutput::Installed { .. }));
         for (number, output) in outputs.into_iter().enumerate() {
             match output {
                 DistributionOutput::Send(to, message) => {
-                    let begun = Instant::now();
+                    let started = Instant::now();
                     outgoing.push((to, self.encode(to, message)));
-                    self.busy_time += begun.elapsed();
+                    self.busy_time += started.elapsed();
                 }
                 DistributionOutput::Installed { version, changes } => {
-                    self.installed(now, version, &changes, last == Some(number));
+                    self.record_installed(now, version, &changes, last == Some(number));
                 }
                 DistributionOutput::Refused { version, why } => self.refusals.push((now, version, why)),
                 DistributionOutput::Published { ticket, version } => {
@@ -147,8 +147,8 @@
         }
         let version = self.node.version();
         if version != self.version {
-            // Taken over without a change, such as another fence of the same state.
-            self.installed(now, version, &[], true);
+            // Installed without a change, for example another fence of the same state.
+            self.record_installed(now, version, &[], true);
         }
         outgoing
     }
@@ -166,15 +166,23 @@
         bytes
     }
 
-    fn installed(&mut self, now: Timestamp, version: Version, changes: &[distribution::Change], last: bool) {
+    fn record_installed(
+        &mut self,
+        now: Timestamp,
+        version: Version,
+        changes: &[distribution::Change],
+        last: bool,
+    ) {
         let mut ledger = self.ledger.borrow_mut();
         if version < self.version {
             ledger.record_violation(format!("{} went back from {:?} to {version:?}", self.at, self.version));
         }
         if let Some(change) = changes.iter().find(|change| !self.interest.covers(change.topic)) {
-            ledger.record_violation(format!("{} has {change:?} in force, which it did not want", self.at));
+            ledger
+                .record_violation(format!("{} installed {change:?}, which is outside its interest", self.at));
         }
-        // Whoever holds the lease, or believes it, commits; an open batch of a publisher before it keeps that one's fence.
+        // A replica that holds the lease, or believes that it does, commits. An unfinished batch of its predecessor keeps
+        // the predecessor's fence.
         if let Some(grant) = self.grant.filter(|_| self.role == Role::Replica) {
             let node = last.then_some(&self.node);
             ledger.committed(self.at, grant.fence, self.version, version, changes, node);
@@ -186,15 +194,16 @@
         self.installs.push((now, version));
     }
 
-    /// Rules that what comes must keep whatever the machine makes of it.
-    fn watch(&mut self, messages: &[DistributionMessage]) {
+    /// Checks invariants of received messages, independently of how the state machine handles them.
+    fn check_received(&mut self, messages: &[DistributionMessage]) {
         for message in messages {
             let DistributionMessage::Page(page) = message else { continue };
             self.pages += u64::from(!page.changes.is_empty());
             if let Some(change) = page.changes.iter().find(|change| !self.interest.covers(change.topic)) {
-                self.ledger
-                    .borrow_mut()
-                    .record_violation(format!("{} was sent {change:?}, which it did not want", self.at));
+                self.ledger.borrow_mut().record_violation(format!(
+                    "{} was sent {change:?}, which is outside its interest",
+                    self.at
+                ));
             }
         }
     }
@@ -206,11 +215,11 @@
     }
 
     fn on_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
-        let begun = Instant::now();
+        let started = Instant::now();
         let read = message::read(self.fleet, bytes);
-        self.busy_time += begun.elapsed();
+        self.busy_time += started.elapsed();
         let Ok(datagram) = read else { return vec![] };
-        self.watch(&datagram.distribution);
+        self.check_received(&datagram.distribution);
         self.handle(now, DistributionInput::Received { from, messages: &datagram.distribution })
     }
 
@@ -219,7 +228,7 @@
     }
 }
 
-/// How long after `since`; 0 where it was before.
+/// The time from `since` to `at`; zero if `at` is earlier.
 pub(crate) fn elapsed(since: Timestamp, at: Timestamp) -> Duration {
     Duration(at.0.saturating_sub(since.0))
 }
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What was committed in a domain, kept outside of it, and the rules that every process is held to against it.
+//! Independent record of what was committed in a distribution domain, against which the invariants of every process
+//! are checked.
 
 use mintgate::Timestamp;
 use mintgate::fleet::distribution::{
@@ -7,34 +8,35 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Broken rules that are told; more say no more.
+/// Violations kept; further ones add no information.
 const MAX_VIOLATIONS: usize = 50;
 
 /// Records by topic and key.
 pub type Records = BTreeMap<(Topic, Key), Value>;
 
-/// A batch of changes that was given to a publisher.
+/// A batch of changes submitted to a publisher.
 #[derive(Clone, Debug)]
 pub struct Publication {
-    /// When.
+    /// When it was submitted.
     pub at: Timestamp,
     /// The changes.
     pub changes: Vec<Change>,
-    /// What came of it, and when.
+    /// Its outcome and when that was reported.
     pub outcome: Option<(Timestamp, Result<Version, PublishError>)>,
 }
 
-/// One history of the domain. Another begins where a majority of the replicas has lost all.
+/// One history of the domain. Another begins when a majority of the replicas has lost its state.
 #[derive(Default)]
 struct History {
-    /// Before the first change of the log.
+    /// Records before the first change of the log.
     first: Records,
     head: u64,
     log: Vec<(u64, Change)>,
     records: Records,
-    /// For each topic its digest from a sequence on.
+    /// For each topic, its digests with the sequence number from which each applies.
     digests: BTreeMap<Topic, Vec<(u64, u64)>>,
-    complete: Option<u64>,
+    /// The sequence number from which on the records are complete.
+    complete_from: Option<u64>,
 }
 
 impl History {
@@ -47,7 +49,7 @@
             let digests = history.digests.entry(*topic).or_insert_with(|| vec![(version.sequence, 0)]);
             digests[0].1 = digests[0].1.wrapping_add(hash);
         }
-        history.complete =
+        history.complete_from =
             history.records.contains_key(&(Topic::SETTINGS, Key::Complete)).then_some(version.sequence);
         history
     }
@@ -55,10 +57,10 @@
     fn append(&mut self, sequence: u64, changes: &[Change]) {
         for change in changes {
             self.log.push((sequence, change.clone()));
-            let place = (change.topic, change.key.clone());
+            let record_key = (change.topic, change.key.clone());
             let before = match &change.value {
-                Some(value) => self.records.insert(place, value.clone()),
-                None => self.records.remove(&place),
+                Some(value) => self.records.insert(record_key, value.clone()),
+                None => self.records.remove(&record_key),
             };
             let removed = before.map_or(0, |value| hash_of(change.topic, &change.key, &value));
             let added = change.value.as_ref().map_or(0, |value| hash_of(change.topic, &change.key, value));
@@ -70,7 +72,7 @@
                 _ => digests.push((sequence, digest)),
             }
             if change.key == Key::Complete && change.value.is_some() {
-                self.complete.get_or_insert(sequence);
+                self.complete_from.get_or_insert(sequence);
             }
         }
         self.head = sequence;
@@ -97,10 +99,10 @@
         }
         let mut records = self.first.clone();
         for (_, change) in self.log.iter().take_while(|(at, _)| *at <= sequence) {
-            let place = (change.topic, change.key.clone());
+            let record_key = (change.topic, change.key.clone());
             match &change.value {
-                Some(value) => records.insert(place, value.clone()),
-                None => records.remove(&place),
+                Some(value) => records.insert(record_key, value.clone()),
+                None => records.remove(&record_key),
             };
         }
         records
@@ -111,7 +113,7 @@
     Change { topic, key: key.clone(), value: Some(value.clone()) }.hash()
 }
 
-/// The topic to which a standing record belongs.
+/// The topic that a record belongs to.
 pub fn topic_of(value: &Value) -> Topic {
     match value {
         Value::Worker(worker) => Topic::workers_of(mintgate::ZoneId(worker.zone)),
@@ -119,32 +121,32 @@
     }
 }
 
-/// What is in force at a process.
+/// The records installed at a process.
 pub fn records_of(node: &DistributionNode) -> Records {
     node.records().map(|(key, value)| ((topic_of(value), key.clone()), value.clone())).collect()
 }
 
-/// See the module's page.
+/// What was committed, by whom, and which invariants were violated.
 pub struct Ledger {
     quorum: usize,
     histories: Vec<History>,
     versions: HashMap<Version, usize>,
     head: Version,
-    /// Who has accepted the batch of a fence after a sequence.
+    /// Replicas that accepted a batch, by its fence and the sequence number that it follows.
     accepted: BTreeMap<(u64, u64), BTreeSet<SocketAddr>>,
-    /// Replicas that have known all that was committed since they came to know it first.
+    /// Replicas that hold all committed changes and have not lost them since.
     established: BTreeSet<SocketAddr>,
-    /// Replicas that have started with nothing, and the sequence from which on they know all.
+    /// Replicas that started without state, and the sequence number at which they have recovered.
     recovering: BTreeMap<SocketAddr, u64>,
     majority_lost: bool,
     publications: BTreeMap<u64, Publication>,
-    /// Datagrams and bytes on links that are watched.
+    /// Datagrams and bytes sent on watched links.
     watched: BTreeMap<(SocketAddr, SocketAddr), (u64, u64)>,
     violations: Vec<String>,
 }
 
 impl Ledger {
-    /// Of a domain of these replicas, which start with nothing.
+    /// Creates the ledger of a domain of these replicas, which start without state.
     pub fn new(replicas: &[SocketAddr]) -> Ledger {
         Ledger {
             quorum: replicas.len() / 2 + 1,
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The last version that was committed.
+    /// The last committed version.
     pub fn head(&self) -> Version {
         self.head
     }
@@ -171,23 +173,22 @@
         &self.violations
     }
 
-    /// Histories of the domain: one more each time that a majority of the replicas had lost all.
+    /// The number of histories of the domain; it grows each time a majority of the replicas has lost its state.
     pub fn histories(&self) -> usize {
         self.histories.len()
     }
 
-    /// Whether a replica has known all that was committed since it came to know it first: it was there from the start, or
-    /// has caught up since it started.
+    /// Whether a replica holds all committed changes: it has run from the beginning, or has caught up since its start.
     pub fn is_established(&self, at: SocketAddr) -> bool {
         self.established.contains(&at)
     }
 
-    /// What was asked of publishers, by ticket.
+    /// The publication with this ticket.
     pub fn publication(&self, ticket: u64) -> Option<&Publication> {
         self.publications.get(&ticket)
     }
 
-    /// All that was committed and stands.
+    /// All committed records.
     pub fn records(&self) -> &Records {
         &self.history().records
     }
@@ -203,12 +204,12 @@
         }
     }
 
-    /// Counts what goes from one process to another from now on.
+    /// Counts the traffic from one process to another from now on.
     pub fn watch_link(&mut self, from: SocketAddr, to: SocketAddr) {
         self.watched.insert((from, to), (0, 0));
     }
 
-    /// Datagrams and bytes counted on a watched link.
+    /// Datagrams and bytes sent on a watched link.
     pub fn link_traffic(&self, from: SocketAddr, to: SocketAddr) -> (u64, u64) {
         self.watched.get(&(from, to)).copied().unwrap_or_default()
     }
@@ -222,12 +223,12 @@
         }
     }
 
-    /// A replica has started with nothing.
+    /// Records that a replica has started without state.
     pub(crate) fn started(&mut self, at: SocketAddr) {
         self.recovering.insert(at, self.head.sequence);
     }
 
-    /// A replica has lost all.
+    /// Records that a replica has lost its state.
     pub(crate) fn killed(&mut self, at: SocketAddr) {
         self.recovering.remove(&at);
         self.established.remove(&at);
@@ -252,16 +253,16 @@
                 "ticket {ticket} was published as {version:?}, which was not committed"
             ));
         }
-        let Some(asked) = self.publications.get_mut(&ticket) else {
-            return self.record_violation(format!("ticket {ticket} was never asked for"));
+        let Some(publication) = self.publications.get_mut(&ticket) else {
+            return self.record_violation(format!("ticket {ticket} was never requested"));
         };
-        if let Some((_, before)) = asked.outcome.replace((now, outcome.clone())) {
-            self.record_violation(format!("ticket {ticket} came to {before:?} and to {outcome:?}"));
+        if let Some((_, before)) = publication.outcome.replace((now, outcome.clone())) {
+            self.record_violation(format!("ticket {ticket} has two outcomes, {before:?} and {outcome:?}"));
         }
     }
 
-    /// A replica that publishes under this fence has a version in force that follows on `before`. It need not be the first
-    /// that has it.
+    /// Records that a replica which publishes under this fence has installed `version`, which follows `before`. Another
+    /// replica may have installed it earlier.
     pub(crate) fn committed(
         &mut self,
         at: SocketAddr,
@@ -276,7 +277,7 @@
         }
         let voters = self.accepted.remove(&(fence, before.sequence)).unwrap_or_default();
         if 1 + voters.iter().filter(|voter| **voter != at).count() < self.quorum {
-            self.record_violation(format!("{at} committed {version:?} with the votes of {voters:?} only"));
+            self.record_violation(format!("{at} committed {version:?} with only the votes of {voters:?}"));
         }
         self.accepted.retain(|(voted, after), _| *voted >= fence && *after >= before.sequence);
         let current = self.histories.len() - 1;
@@ -285,10 +286,10 @@
         if follows && before.sequence == history.head {
             history.append(version.sequence, changes);
         } else {
-            // The same state under another fence, or another history.
-            let same = follows && version.sequence <= history.head;
+            // Either the same state under another fence, or another history.
+            let same_history = follows && version.sequence <= history.head;
             let digest = history.digest(&Interest::All, version.sequence);
-            if !same || node.is_some_and(|node| node.digest() != digest) {
+            if !same_history || node.is_some_and(|node| node.digest() != digest) {
                 self.begin_history(at, before, version, node);
             }
         }
@@ -323,7 +324,8 @@
         }
     }
 
-    /// A version has come into force at a process, with the digest of what it holds where nothing follows at once.
+    /// Checks a version that a process has installed. `digest` covers the records that the process holds; it is `None`
+    /// if the process installs a further version in the same step.
     pub(crate) fn installed(
         &mut self,
         at: SocketAddr,
@@ -333,28 +335,27 @@
         digest: Option<u64>,
     ) {
         let Some(number) = self.versions.get(&version).copied() else {
-            return self
-                .record_violation(format!("{at} has {version:?} in force, which was never committed"));
+            return self.record_violation(format!("{at} installed {version:?}, which was never committed"));
         };
         let history = &self.histories[number];
         let committed = history.digest(interest, version.sequence);
-        let complete = history.complete.is_some_and(|complete| complete <= version.sequence);
+        let complete = history.complete_from.is_some_and(|complete| complete <= version.sequence);
         if digest.is_some_and(|digest| digest != committed) {
-            self.record_violation(format!("{at} holds other records at {version:?} than were committed"));
+            self.record_violation(format!("{at} holds other records at {version:?} than the committed ones"));
         }
         if role != Role::Replica && !complete {
-            self.record_violation(format!("{at} has {version:?} in force, which is not whole"));
+            self.record_violation(format!("{at} installed {version:?}, which is incomplete"));
         }
-        let knows = number + 1 == self.histories.len()
+        let recovered = number + 1 == self.histories.len()
             && self.recovering.get(&at).is_some_and(|needed| *needed <= version.sequence);
-        if knows {
+        if recovered {
             self.recovering.remove(&at);
             self.established.insert(at);
             self.majority_lost &= self.established.len() < self.quorum;
         }
     }
 
-    /// What an interest holds at a version; none where that was never committed.
+    /// The records that match an interest at a version; `None` if that version was never committed.
     pub fn records_at(&self, version: Version, interest: &Interest) -> Option<Records> {
         let history = &self.histories[*self.versions.get(&version)?];
         let mut records = history.records_at(version.sequence);
@@ -362,34 +363,34 @@
         Some(records)
     }
 
-    /// Changes that were acknowledged as published and do not stand, though nothing that was asked for later, or whose
-    /// outcome is open, is about the same record.
+    /// Acknowledged changes that are not in force, except those of records that a later publication, or one whose outcome
+    /// is unknown, may have overwritten.
     pub fn lost_changes(&self) -> Vec<String> {
         if self.histories.len() > 1 {
             return vec![];
         }
         let mut last: BTreeMap<(Topic, &Key), (Version, u64, &Change)> = BTreeMap::new();
-        let mut open: BTreeSet<(Topic, &Key)> = BTreeSet::new();
-        for (ticket, asked) in &self.publications {
-            for change in &asked.changes {
-                let place = (change.topic, &change.key);
-                match &asked.outcome {
+        let mut unresolved: BTreeSet<(Topic, &Key)> = BTreeSet::new();
+        for (ticket, publication) in &self.publications {
+            for change in &publication.changes {
+                let record_key = (change.topic, &change.key);
+                match &publication.outcome {
                     Some((_, Ok(version))) => {
-                        let entry = last.entry(place).or_insert((*version, *ticket, change));
+                        let entry = last.entry(record_key).or_insert((*version, *ticket, change));
                         if (entry.0, entry.1) <= (*version, *ticket) {
                             *entry = (*version, *ticket, change);
                         }
                     }
                     None | Some((_, Err(PublishError::Superseded))) => {
-                        open.insert(place);
+                        unresolved.insert(record_key);
                     }
                     Some((_, Err(_))) => {}
                 }
             }
         }
-        last.retain(|place, _| !open.contains(place));
-        let stands = |change: &Change| self.history().records.get(&(change.topic, change.key.clone()));
-        let lost = last.values().filter(|(.., change)| stands(change) != change.value.as_ref());
+        last.retain(|record_key, _| !unresolved.contains(record_key));
+        let current = |change: &Change| self.history().records.get(&(change.topic, change.key.clone()));
+        let lost = last.values().filter(|(.., change)| current(change) != change.value.as_ref());
         lost.map(|(version, ticket, change)| format!("ticket {ticket} of {version:?}: {change:?} is lost"))
             .collect()
     }
