--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -1,6 +1,6 @@
-//! Processes of one fleet in virtual time: each with a clock of its own, on links that lose, delay, repeat and
-//! cut, crashed, paused and started again as a seed draws it. An audit watches every moment: never two holders of
-//! a lease, and fences that rise.
+//! Simulated processes of one fleet in virtual time. Each has its own clock; links lose, delay, duplicate and drop
+//! datagrams, and processes crash, pause and restart, all determined by a seed. An audit checks at every step that no
+//! lease has two holders and that fences increase.
 
 use mintgate::fleet::gossip::{GossipTopic, GossipUpdate};
 use mintgate::fleet::lease::{self, LeaseGrant};
@@ -12,30 +12,30 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-const SECOND: u64 = 1_000_000_000;
-/// The largest part by which a clock's rate is off, in millionths, as processes are told.
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
+/// The maximum clock drift that processes are configured with, in parts per million.
 const DRIFT_PPM: u64 = 5_000;
 
-/// What a fleet is like.
+/// Parameters of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Processes.
     pub processes: usize,
-    /// Those of them that grant leases, from the first on.
+    /// The first processes, which act as electors.
     pub electors: usize,
-    /// For how long leases are granted.
+    /// Lease term.
     pub term: Duration,
-    /// The longest delay that processes are told of.
+    /// The maximum datagram delay that processes are configured with.
     pub delay: Duration,
-    /// Parts of each task.
+    /// Partitions of each task.
     pub parts: u16,
-    /// How much goes wrong: faults a second, over all processes and links.
+    /// Faults per second, over all processes and links.
     pub faults: f64,
-    /// Clocks may be off by as much as processes are told, times this. Over 1 it is more than they bear.
+    /// Actual clock drift as a multiple of the configured maximum. Above 1 it exceeds what the processes tolerate.
     pub drift: f64,
-    /// Time for which faults are drawn, and after it until all is well again and the end.
+    /// Duration of the phase with faults.
     pub length: Duration,
-    /// Time after that without faults.
+    /// Duration of the phase without faults that follows.
     pub calm: Duration,
 }
 
@@ -55,44 +55,44 @@
     }
 }
 
-/// What came of it.
+/// Results of one simulated fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Rules that were broken, with the processes and the time.
-    pub broken: Vec<String>,
-    /// Leases that nobody has held for two terms at the end of the calm.
-    pub unheld: Vec<(Task, u16)>,
-    /// Faults that happened, by name.
+    /// Violated invariants, with the processes and the time.
+    pub violations: Vec<String>,
+    /// Leases that have had no holder for the last two terms of the calm phase.
+    pub leases_without_holder: Vec<(Task, u16)>,
+    /// Number of injected faults, by name.
     pub faults: BTreeMap<&'static str, usize>,
-    /// Times from a holder's crash until somebody held its lease next.
+    /// Times from a holder's crash until another process held its lease.
     pub takeovers: Vec<Duration>,
-    /// Time without a holder, as a part of all time after the first.
-    pub without: f64,
-    /// Holders in all.
+    /// Fraction of time in which leases had no holder, after their first one.
+    pub time_without_holder: f64,
+    /// Number of tenures.
     pub tenures: usize,
-    /// Datagrams and bytes that one process sent a second in the calm at the end: the mean, and the most.
+    /// Datagrams per second that a process sent at the end of the calm phase: mean and maximum.
     pub datagrams: (f64, f64),
-    /// See there.
+    /// Bytes per second, likewise.
     pub bytes: (f64, f64),
-    /// Members that processes know of at the end, the fewest.
-    pub known: usize,
-    /// How long news of the first process took to reach all others, where it did.
-    pub news: Option<Duration>,
+    /// The smallest number of members that a process knows at the end.
+    pub members_known: usize,
+    /// How long a gossip update of the first process took to reach all others, if it did.
+    pub gossip_spread: Option<Duration>,
 }
 
 struct Running {
-    machine: FleetNode,
+    node: FleetNode,
     process: Process,
-    /// Its clock: at real time 0, and its rate against real time.
+    /// Its local clock: the reading at real time 0, and its rate relative to real time.
     clock: (u64, f64),
     paused: Option<u64>,
-    waiting: Vec<(Vec<u8>, SocketAddr)>,
-    wake: Option<u64>,
+    queued: Vec<(Vec<u8>, SocketAddr)>,
+    wake_at: Option<u64>,
     sent: (u64, u64),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-enum What {
+enum Event {
     Wake(usize, u64),
     Deliver(usize, usize),
     Continue(usize),
@@ -105,8 +105,8 @@
 struct Link {
     cut: bool,
     loss: f64,
-    slow: u64,
-    twice: f64,
+    extra_delay: u64,
+    duplicate: f64,
 }
 
 struct Tenure {
@@ -114,28 +114,28 @@
     until: u64,
 }
 
-/// See the module's page.
-struct World<'a> {
+/// A simulated fleet with its event queue and audit state.
+struct Simulation<'a> {
     plan: &'a Plan,
     rng: SmallRng,
     now: u64,
-    queue: BinaryHeap<Reverse<(u64, u64, What)>>,
-    next: u64,
-    letters: BTreeMap<usize, (Vec<u8>, SocketAddr)>,
+    queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    next_number: u64,
+    in_flight: BTreeMap<usize, (Vec<u8>, SocketAddr)>,
     running: Vec<Option<Running>>,
     starts: u64,
     links: Vec<Vec<Link>>,
-    /// Who holds what, and under which fence it was held last.
+    /// The current tenure of each lease; `fences` has the last fence and its holder.
     tenures: BTreeMap<(Task, u16), Tenure>,
     fences: BTreeMap<(Task, u16), (u64, Process)>,
-    crashed: BTreeMap<(Task, u16), u64>,
-    free: BTreeMap<(Task, u16), u64>,
-    without: u64,
-    heard: Vec<Option<u64>>,
+    crashed_at: BTreeMap<(Task, u16), u64>,
+    free_since: BTreeMap<(Task, u16), u64>,
+    time_without_holder: u64,
+    gossip_received: Vec<Option<u64>>,
     report: Report,
 }
 
-fn place(index: usize) -> SocketAddr {
+fn address_of(index: usize) -> SocketAddr {
     let at = index as u32 + 1;
     SocketAddr::from((Ipv4Addr::from(0x7f00_0000 | at), 9_200))
 }
@@ -155,32 +155,32 @@
     }
 }
 
-impl<'a> World<'a> {
-    fn new(plan: &'a Plan, seed: u64) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(plan: &'a Plan, seed: u64) -> Simulation<'a> {
         let n = plan.processes;
-        World {
+        Simulation {
             plan,
             rng: SmallRng::seed_from_u64(seed),
             now: 0,
             queue: BinaryHeap::new(),
-            next: 0,
-            letters: BTreeMap::new(),
+            next_number: 0,
+            in_flight: BTreeMap::new(),
             running: (0..n).map(|_| None).collect(),
             starts: 0,
             links: vec![vec![Link::default(); n]; n],
             tenures: BTreeMap::new(),
             fences: BTreeMap::new(),
-            crashed: BTreeMap::new(),
-            free: BTreeMap::new(),
-            without: 0,
-            heard: vec![None; n],
+            crashed_at: BTreeMap::new(),
+            free_since: BTreeMap::new(),
+            time_without_holder: 0,
+            gossip_received: vec![None; n],
             report: Report::default(),
         }
     }
 
-    fn at(&mut self, time: u64, what: What) {
-        self.next += 1;
-        self.queue.push(Reverse((time, self.next, what)));
+    fn schedule(&mut self, time: u64, output: Event) {
+        self.next_number += 1;
+        self.queue.push(Reverse((time, self.next_number, output)));
     }
 
     fn start(&mut self, index: usize) {
@@ -191,18 +191,19 @@
         let plan = self.plan;
         let drift = DRIFT_PPM as f64 / 1e6 * plan.drift;
         let rate = 1.0 + self.rng.random_range(-drift..=drift);
-        // Clocks show any time; what they show says nothing to others.
-        let offset = 1_700_000_000 * SECOND + self.rng.random_range(0..1_000_000 * SECOND);
+        // Clocks are not synchronized: their readings can't be compared between processes.
+        let offset =
+            1_700_000_000 * NANOS_PER_SECOND + self.rng.random_range(0..1_000_000 * NANOS_PER_SECOND);
         let electors: Vec<u32> = (0..plan.electors as u32).collect();
         let process = Process { index: index as u32, incarnation: self.starts };
         let clock = (offset - (self.now as f64 * rate) as u64, rate);
         let config = FleetConfig {
             process,
-            // The later start is the member, as its clock would have it in the long run.
+            // The latest start supersedes earlier ones, as it would with generations taken from a clock.
             generation: self.starts,
-            address: place(index),
+            address: address_of(index),
             fleet_hash: message::fleet("lab", &[]),
-            acceptors: electors.iter().map(|index| (*index, place(*index as usize))).collect(),
+            acceptors: electors.iter().map(|index| (*index, address_of(*index as usize))).collect(),
             address_overrides: BTreeMap::new(),
             lease: lease::LeaseConfig::new(electors, plan.term, plan.term, DRIFT_PPM),
             delay: plan.delay,
@@ -214,45 +215,45 @@
             seed: self.rng.random(),
         };
         let running = Running {
-            machine: FleetNode::new(Timestamp(offset), config),
+            node: FleetNode::new(Timestamp(offset), config),
             process,
             clock,
             paused: None,
-            waiting: vec![],
-            wake: None,
+            queued: vec![],
+            wake_at: None,
             sent: (0, 0),
         };
         self.running[index] = Some(running);
-        self.act(index, FleetInput::Timer);
+        self.handle(index, FleetInput::Timer);
     }
 
-    /// Gives a process an event, and carries out what it says.
-    fn act(&mut self, index: usize, event: FleetInput) {
+    /// Passes an event to a process and carries out its outputs.
+    fn handle(&mut self, index: usize, event: FleetInput) {
         let now = self.now;
         let Some(running) = &mut self.running[index] else { return };
         let local = running.local(now);
-        let all = running.machine.handle(local, event);
-        for what in all {
-            self.carry_out(index, what);
+        let all = running.node.handle(local, event);
+        for output in all {
+            self.carry_out(index, output);
         }
         let Some(running) = &mut self.running[index] else { return };
-        let due = running.machine.next_timeout().map(|at| running.real(at).max(now));
-        if due != running.wake {
-            running.wake = due;
+        let due = running.node.next_timeout().map(|at| running.real(at).max(now));
+        if due != running.wake_at {
+            running.wake_at = due;
             if let Some(at) = due {
                 let process = running.process.incarnation;
-                self.at(at, What::Wake(index, process));
+                self.schedule(at, Event::Wake(index, process));
             }
         }
     }
 
-    fn carry_out(&mut self, index: usize, what: FleetOutput) {
-        match what {
+    fn carry_out(&mut self, index: usize, output: FleetOutput) {
+        match output {
             FleetOutput::Send(to, bytes) => self.send(index, to, bytes),
-            FleetOutput::LeaseChanged(task, part, grant) => self.held(index, (task, part), grant),
+            FleetOutput::LeaseChanged(task, part, grant) => self.audit_lease(index, (task, part), grant),
             FleetOutput::Received(GossipTopic::Worker(1), ..) => {
                 let now = self.now;
-                self.heard[index].get_or_insert(now);
+                self.gossip_received[index].get_or_insert(now);
             }
             _ => {}
         }
@@ -267,17 +268,18 @@
         if link.cut || self.rng.random_bool(link.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(link.twice));
-        for _ in 0..copies {
-            let delay = self.rng.random_range(50_000..2_000_000) + self.rng.random_range(0..=link.slow);
-            let number = self.next as usize;
-            self.letters.insert(number, (bytes.clone(), place(index)));
-            self.at(self.now + delay, What::Deliver(other, number));
+        let deliveries = 1 + usize::from(self.rng.random_bool(link.duplicate));
+        for _ in 0..deliveries {
+            let delay =
+                self.rng.random_range(50_000..2_000_000) + self.rng.random_range(0..=link.extra_delay);
+            let number = self.next_number as usize;
+            self.in_flight.insert(number, (bytes.clone(), address_of(index)));
+            self.schedule(self.now + delay, Event::Deliver(other, number));
         }
     }
 
-    /// The audit: whoever holds it now, nobody else may, and no fence was as high.
-    fn held(&mut self, index: usize, lease: (Task, u16), grant: Option<LeaseGrant>) {
+    /// Audits a change of a lease: no other process may hold it, and its fence must exceed all earlier ones.
+    fn audit_lease(&mut self, index: usize, lease: (Task, u16), grant: Option<LeaseGrant>) {
         let now = self.now;
         let Some(running) = &self.running[index] else { return };
         let (process, until) = (running.process, grant.map(|grant| running.real(grant.until)));
@@ -285,12 +287,12 @@
         let (Some(grant), Some(until)) = (grant, until) else {
             if self.tenures.get(&lease).is_some_and(|tenure| tenure.holder == index) {
                 self.tenures.remove(&lease);
-                self.free.entry(lease).or_insert(now);
+                self.free_since.entry(lease).or_insert(now);
             }
             return;
         };
         if let Some(other) = others {
-            self.report.broken.push(format!(
+            self.report.violations.push(format!(
                 "two holders of {lease:?} at {now}: {process:?} and {} until {}",
                 other.holder, other.until
             ));
@@ -298,17 +300,17 @@
         let last = self.fences.get(&lease).copied();
         if last != Some((grant.fence, process)) {
             if last.is_some_and(|(fence, _)| grant.fence <= fence) {
-                self.report.broken.push(format!("fence {} of {lease:?} after {last:?}", grant.fence));
+                self.report.violations.push(format!("fence {} of {lease:?} after {last:?}", grant.fence));
             }
             self.fences.insert(lease, (grant.fence, process));
             self.report.tenures += 1;
         }
-        // Without a holder from the end of the tenure before, or its crash.
+        // The lease had no holder since the end of the previous tenure, or since its holder's crash.
         let before = self.tenures.get(&lease).map(|tenure| tenure.until).filter(|until| *until < now);
-        if let Some(since) = self.free.remove(&lease).or(before) {
-            self.without += now - since;
+        if let Some(since) = self.free_since.remove(&lease).or(before) {
+            self.time_without_holder += now - since;
         }
-        if let Some(since) = self.crashed.remove(&lease) {
+        if let Some(since) = self.crashed_at.remove(&lease) {
             self.report.takeovers.push(Duration(now - since));
         }
         self.tenures.insert(lease, Tenure { holder: index, until });
@@ -320,22 +322,22 @@
         let held: Vec<(Task, u16)> =
             self.tenures.iter().filter(|(_, t)| t.holder == index).map(|(lease, _)| *lease).collect();
         for lease in held {
-            // It acts no more, whatever its clock would have said.
+            // A crashed holder no longer acts on its lease, so the tenure ends now.
             self.tenures.remove(&lease);
-            self.free.entry(lease).or_insert(now);
-            self.crashed.insert(lease, now);
+            self.free_since.entry(lease).or_insert(now);
+            self.crashed_at.insert(lease, now);
         }
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let n = self.plan.processes;
         let (one, other) = (self.rng.random_range(0..n), self.rng.random_range(0..n));
-        let long = self.rng.random_range(SECOND / 10..6 * SECOND);
-        let end = self.now + long;
+        let duration = self.rng.random_range(NANOS_PER_SECOND / 10..6 * NANOS_PER_SECOND);
+        let end = self.now + duration;
         let name = match self.rng.random_range(0..9) {
             0 if self.running[one].is_some() => {
                 self.crash(one);
-                self.at(end, What::Start(one));
+                self.schedule(end, Event::Start(one));
                 "crash"
             }
             1 | 2 => {
@@ -344,96 +346,97 @@
                     Some(running) if running.paused.is_none() => running.paused = Some(now),
                     _ => return,
                 }
-                self.at(end, What::Continue(one));
+                self.schedule(end, Event::Continue(one));
                 "pause"
             }
             3 => {
                 self.links[one][other].cut = true;
-                self.at(end, What::Heal(one, other));
+                self.schedule(end, Event::Heal(one, other));
                 "one-way cut"
             }
             4 => {
                 for (from, to) in [(one, other), (other, one)] {
                     self.links[from][to].cut = true;
-                    self.at(end, What::Heal(from, to));
+                    self.schedule(end, Event::Heal(from, to));
                 }
                 "cut"
             }
             5 => {
-                // One is cut off from all others.
+                // Isolates one process from all others.
                 for to in 0..n {
                     self.links[one][to].cut = true;
                     self.links[to][one].cut = true;
-                    self.at(end, What::Heal(one, to));
-                    self.at(end, What::Heal(to, one));
+                    self.schedule(end, Event::Heal(one, to));
+                    self.schedule(end, Event::Heal(to, one));
                 }
                 "alone"
             }
             6 => {
                 self.links[one][other].loss = self.rng.random_range(0.1..0.9);
-                self.at(end, What::Heal(one, other));
+                self.schedule(end, Event::Heal(one, other));
                 "loss"
             }
             7 => {
-                self.links[one][other].slow = self.rng.random_range(SECOND / 20..3 * SECOND);
-                self.at(end, What::Heal(one, other));
+                self.links[one][other].extra_delay =
+                    self.rng.random_range(NANOS_PER_SECOND / 20..3 * NANOS_PER_SECOND);
+                self.schedule(end, Event::Heal(one, other));
                 "delay"
             }
             8 => {
-                self.links[one][other].twice = 0.5;
-                self.links[one][other].slow = SECOND / 2;
-                self.at(end, What::Heal(one, other));
+                self.links[one][other].duplicate = 0.5;
+                self.links[one][other].extra_delay = NANOS_PER_SECOND / 2;
+                self.schedule(end, Event::Heal(one, other));
                 "repeats and disorder"
             }
             _ => {
-                // Leaves in order, and comes back.
-                self.act(one, FleetInput::Leave);
+                // Leaves the fleet gracefully and restarts later.
+                self.handle(one, FleetInput::Leave);
                 self.crash(one);
-                self.at(end, What::Start(one));
+                self.schedule(end, Event::Start(one));
                 "leave"
             }
         };
         *self.report.faults.entry(name).or_default() += 1;
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Wake(index, incarnation) => {
+    fn handle_event(&mut self, output: Event) {
+        match output {
+            Event::Wake(index, incarnation) => {
                 let Some(running) = &mut self.running[index] else { return };
                 if running.process.incarnation != incarnation {
                     return;
                 }
-                running.wake = None;
+                running.wake_at = None;
                 if running.paused.is_none() {
-                    self.act(index, FleetInput::Timer);
+                    self.handle(index, FleetInput::Timer);
                 }
             }
-            What::Deliver(index, number) => {
-                let Some((bytes, from)) = self.letters.remove(&number) else { return };
+            Event::Deliver(index, number) => {
+                let Some((bytes, from)) = self.in_flight.remove(&number) else { return };
                 let Some(running) = &mut self.running[index] else { return };
                 if running.paused.is_some() {
-                    // It waits in the socket.
-                    running.waiting.push((bytes, from));
+                    // It stays queued in the socket.
+                    running.queued.push((bytes, from));
                 } else {
-                    self.act(index, FleetInput::Datagram(&bytes, from));
+                    self.handle(index, FleetInput::Datagram(&bytes, from));
                 }
             }
-            What::Continue(index) => {
+            Event::Continue(index) => {
                 let Some(running) = &mut self.running[index] else { return };
                 running.paused = None;
-                for (bytes, from) in std::mem::take(&mut running.waiting) {
-                    self.act(index, FleetInput::Datagram(&bytes, from));
+                for (bytes, from) in std::mem::take(&mut running.queued) {
+                    self.handle(index, FleetInput::Datagram(&bytes, from));
                 }
-                self.act(index, FleetInput::Timer);
+                self.handle(index, FleetInput::Timer);
             }
-            What::Start(index) => self.start(index),
-            What::Heal(from, to) => self.links[from][to] = Link::default(),
-            What::Fault => {
-                self.fault();
-                let mean = SECOND as f64 / self.plan.faults;
+            Event::Start(index) => self.start(index),
+            Event::Heal(from, to) => self.links[from][to] = Link::default(),
+            Event::Fault => {
+                self.inject_fault();
+                let mean = NANOS_PER_SECOND as f64 / self.plan.faults;
                 let pause = (-self.rng.random_range(1e-9..1.0f64).ln() * mean) as u64;
                 if self.now + pause < self.plan.length.0 {
-                    self.at(self.now + pause, What::Fault);
+                    self.schedule(self.now + pause, Event::Fault);
                 }
             }
         }
@@ -441,9 +444,9 @@
 
     fn run_until(&mut self, end: u64) {
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at < end) {
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { return };
+            let Some(Reverse((at, _, output))) = self.queue.pop() else { return };
             self.now = self.now.max(at);
-            self.happen(what);
+            self.handle_event(output);
         }
         self.now = end;
     }
@@ -454,7 +457,7 @@
         }
         for index in 0..self.plan.processes {
             match &self.running[index] {
-                Some(running) if running.paused.is_some() => self.happen(What::Continue(index)),
+                Some(running) if running.paused.is_some() => self.handle_event(Event::Continue(index)),
                 Some(_) => {}
                 None => self.start(index),
             }
@@ -462,26 +465,26 @@
     }
 }
 
-/// Plays one fleet.
+/// Simulates one fleet.
 pub fn simulate(plan: &Plan, seed: u64) -> Report {
-    let mut world = World::new(plan, seed);
+    let mut simulation = Simulation::new(plan, seed);
     for index in 0..plan.processes {
-        let at = world.rng.random_range(0..SECOND / 4);
-        world.at(at, What::Start(index));
+        let at = simulation.rng.random_range(0..NANOS_PER_SECOND / 4);
+        simulation.schedule(at, Event::Start(index));
     }
     if plan.faults > 0.0 {
-        world.at(SECOND, What::Fault);
+        simulation.schedule(NANOS_PER_SECOND, Event::Fault);
     }
-    world.run_until(plan.length.0);
-    world.heal();
-    // The second half of the calm is measured: the first goes by until all is well.
-    world.run_until(plan.length.0 + plan.calm.0 / 2);
-    let before: Vec<(u64, u64)> = world.running.iter().flatten().map(|running| running.sent).collect();
-    let told = world.now;
-    world.act(0, FleetInput::Observed(GossipTopic::Worker(1), GossipUpdate::Answers(true)));
-    world.run_until(plan.length.0 + plan.calm.0);
-    let half = (plan.calm.0 / 2) as f64 / SECOND as f64;
-    let sent: Vec<(f64, f64)> = world
+    simulation.run_until(plan.length.0);
+    simulation.heal();
+    // The second half of the calm phase is measured; during the first the fleet recovers.
+    simulation.run_until(plan.length.0 + plan.calm.0 / 2);
+    let before: Vec<(u64, u64)> = simulation.running.iter().flatten().map(|running| running.sent).collect();
+    let observed_at = simulation.now;
+    simulation.handle(0, FleetInput::Observed(GossipTopic::Worker(1), GossipUpdate::Answers(true)));
+    simulation.run_until(plan.length.0 + plan.calm.0);
+    let half = (plan.calm.0 / 2) as f64 / NANOS_PER_SECOND as f64;
+    let sent: Vec<(f64, f64)> = simulation
         .running
         .iter()
         .flatten()
@@ -494,27 +497,29 @@
         let most = values.iter().copied().fold(0.0, f64::max);
         (values.iter().sum::<f64>() / values.len().max(1) as f64, most)
     };
-    let now = world.now;
+    let now = simulation.now;
     let leases = Task::PARTITIONED.iter().flat_map(|task| (0..plan.parts).map(move |part| (*task, part)));
-    let mut report = std::mem::take(&mut world.report);
-    // Passing from one to the other takes a moment.
+    let mut report = std::mem::take(&mut simulation.report);
+    // A lease that passes from one holder to the next is briefly free.
     let held = |lease: &(Task, u16)| {
-        let free = world.free.get(lease).or(world.tenures.get(lease).map(|tenure| &tenure.until));
-        free.is_some_and(|since| since + 2 * plan.term.0 > now)
+        let free_since =
+            simulation.free_since.get(lease).or(simulation.tenures.get(lease).map(|tenure| &tenure.until));
+        free_since.is_some_and(|since| since + 2 * plan.term.0 > now)
     };
-    report.unheld = leases.filter(|lease| !held(lease)).collect();
-    report.without =
-        world.without as f64 / (now as f64 * f64::from(plan.parts) * Task::PARTITIONED.len() as f64);
+    report.leases_without_holder = leases.filter(|lease| !held(lease)).collect();
+    report.time_without_holder = simulation.time_without_holder as f64
+        / (now as f64 * f64::from(plan.parts) * Task::PARTITIONED.len() as f64);
     report.datagrams = mean(sent.iter().map(|sent| sent.0).collect());
     report.bytes = mean(sent.iter().map(|sent| sent.1).collect());
-    report.known =
-        world.running.iter().flatten().map(|running| running.machine.members().count()).min().unwrap_or(0);
-    let heard = world.heard.iter().skip(1).copied().collect::<Option<Vec<u64>>>();
-    report.news = heard.and_then(|all| all.into_iter().max()).map(|last| Duration(last - told));
+    report.members_known =
+        simulation.running.iter().flatten().map(|running| running.node.members().count()).min().unwrap_or(0);
+    let gossip_received = simulation.gossip_received.iter().skip(1).copied().collect::<Option<Vec<u64>>>();
+    report.gossip_spread =
+        gossip_received.and_then(|all| all.into_iter().max()).map(|last| Duration(last - observed_at));
     report
 }
 
-/// Plays many seeds and prints what came of them; fails where a rule was broken.
+/// Simulates many seeds and prints a summary. Fails if an invariant was violated or a lease has no holder at the end.
 pub fn report(plan: &Plan, seeds: std::ops::Range<u64>) -> std::process::ExitCode {
     let count = seeds.end - seeds.start;
     let threads = std::thread::available_parallelism().map_or(1, usize::from) as u64;
@@ -529,21 +534,21 @@
     });
     let mut faults: BTreeMap<&str, usize> = BTreeMap::new();
     let mut takeovers: Vec<f64> = vec![];
-    let (mut broken, mut unheld, mut tenures, mut without) = (0, 0, 0, 0.0);
+    let (mut violations, mut leases_without_holder, mut tenures, mut time_without_holder) = (0, 0, 0, 0.0);
     for (seed, report) in &reports {
         for (name, count) in &report.faults {
             *faults.entry(name).or_default() += count;
         }
         takeovers.extend(report.takeovers.iter().map(|span| span.secs()));
         tenures += report.tenures;
-        without += report.without / count as f64;
-        for rule in &report.broken {
-            broken += 1;
+        time_without_holder += report.time_without_holder / count as f64;
+        for rule in &report.violations {
+            violations += 1;
             println!("seed {seed}: {rule}");
         }
-        if !report.unheld.is_empty() {
-            unheld += 1;
-            println!("seed {seed}: nobody holds {:?} after the calm", report.unheld);
+        if !report.leases_without_holder.is_empty() {
+            leases_without_holder += 1;
+            println!("seed {seed}: no process holds {:?} after the calm phase", report.leases_without_holder);
         }
     }
     takeovers.sort_by(f64::total_cmp);
@@ -557,7 +562,7 @@
         plan.term.secs()
     );
     println!("faults: {faults:?}");
-    println!("tenures {tenures}, time without a holder {:.1}%", without * 100.0);
+    println!("tenures {tenures}, time without a holder {:.1}%", time_without_holder * 100.0);
     println!(
         "from a holder's crash to the next: {} times, median {:.2} s, 99th percentile {:.2} s",
         takeovers.len(),
@@ -565,18 +570,25 @@
         quantile(0.99)
     );
     println!(
-        "in the calm, a process sends {:.1} datagrams a second ({:.1} at most), {:.0} bytes ({:.0} at most)",
+        "in the calm phase, a process sends {:.1} datagrams a second ({:.1} at most), {:.0} bytes ({:.0} at most)",
         each(|r| r.datagrams.0),
         each(|r| r.datagrams.1),
         each(|r| r.bytes.0),
         each(|r| r.bytes.1)
     );
-    let news = reports.iter().filter_map(|(_, r)| r.news).map(Duration::secs).fold(0.0, f64::max);
-    let told = reports.iter().filter(|(_, r)| r.news.is_some()).count();
+    let gossip_spread =
+        reports.iter().filter_map(|(_, r)| r.gossip_spread).map(Duration::secs).fold(0.0, f64::max);
+    let observed_at = reports.iter().filter(|(_, r)| r.gossip_spread.is_some()).count();
     println!(
-        "members known at the end: {:.1} at least; news reached all in {told} seeds, within {news:.2} s",
-        each(|r| r.known as f64)
+        "members known at the end: {:.1} at least; a gossip update reached all in {observed_at} seeds, within {gossip_spread:.2} s",
+        each(|r| r.members_known as f64)
     );
-    println!("rules broken: {broken}; leases without a holder at the end: {unheld}");
-    if broken + unheld == 0 { std::process::ExitCode::SUCCESS } else { std::process::ExitCode::FAILURE }
+    println!(
+        "invariants violated: {violations}; leases without a holder at the end: {leases_without_holder}"
+    );
+    if violations + leases_without_holder == 0 {
+        std::process::ExitCode::SUCCESS
+    } else {
+        std::process::ExitCode::FAILURE
+    }
 }
--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -1,19 +1,20 @@
-//! Scale runs: what control costs each process, by the number of schedulers, workers, functions, changes and regions.
+//! Scale runs: the cost of the control plane per process, by the number of schedulers, workers, functions, changes and
+//! regions.
 //!
-//! Hollow processes run the shipped machines in virtual time, many in one process and without calls' sockets; real
-//! processes run beside them on loopback and are measured by the operating system. Every row says which of the two it
-//! is, and in which set-up. Each part of a run is played by a process of its own, so that what one part leaves in memory
-//! is not counted for another.
+//! Hollow processes run the production state machines in virtual time, many in one process and without sockets; real
+//! processes run on loopback at the same time and are measured by the operating system. Every row names which of the
+//! two it is, and its set-up. Each part of a run has its own child process, so that memory left behind by one part is
+//! not counted for another.
 //!
-//! What the figures mean:
+//! Meaning of the figures:
 //!
-//! - hollow rows: bytes and messages are real datagrams of the shipped codec, counted by the virtual network; for one
-//!   seed they are the same on every run. Processor time is that of the machines' own calls, divided by the processes:
-//!   their wall time, times the processor time over the wall time of the thread that plays, so that a busy machine does
-//!   not count. Memory is the growth of the resident memory, divided by the processes;
-//! - real rows: processor time by `/proc/PID/task/*/schedstat` (or `/proc/PID/stat`) over the seconds of the run, memory
-//!   by `VmRSS`, the start from the spawn to the log line `serving`, and the standstill of the serving thread as the
-//!   longest round trip of a client that asks at the clients' front whether the scheduler is ready, every millisecond.
+//! - hollow rows: bytes and messages are real datagrams of the production codec, counted by the simulated network; they
+//!   are determined by the seed. Processor time is that of the state machines' own calls per process: their wall time,
+//!   multiplied by the ratio of processor time to wall time of the simulating thread, so that the load of the machine
+//!   has no effect. Memory is the growth of the resident memory per process;
+//! - real rows: processor time from `/proc/PID/task/*/schedstat` (or `/proc/PID/stat`) over the seconds of the run, memory
+//!   from `VmRSS`, start time from the spawn to the log line `serving`, and the stall of the serving thread as the
+//!   longest round trip of a client that sends a readiness request to the clients' front every millisecond.
 
 mod children;
 mod configuration;
@@ -35,15 +36,15 @@
 
 pub use fit::{Fit, fit};
 pub use plan::{Part, Plan, Setup};
-pub use report::{Row, Rows, Target};
+pub use report::{OutputFile, Row, Rows};
 pub use series::{Series, series};
 
 use std::path::{Path, PathBuf};
 
-/// What `lab scale` is told.
+/// Options of `lab scale`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Options {
-    /// A prepared series, played at several sizes along its axis; `--list` names them.
+    /// A prepared series, which runs at several sizes along its axis; `--list` shows all.
     series: Option<String>,
     /// Lists the prepared series.
     #[arg(long)]
@@ -57,34 +58,34 @@
     /// Workers on the list.
     #[arg(long, default_value_t = 1_000)]
     workers: usize,
-    /// Functions that are called, at the module alone and at real schedulers; 0 for no calls.
+    /// Functions that are called, in the decision module alone and at real schedulers; 0 for no calls.
     #[arg(long, default_value_t = 200)]
     functions: usize,
-    /// Seconds for which each part is measured.
+    /// Duration of each measurement in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Decides all that is drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Faults a second, over all hollow processes: kills with a start after it, stops, cuts.
+    /// Faults per second, over all hollow processes: kills followed by a restart, suspensions, partitions.
     #[arg(long, default_value_t = 0.0, value_name = "RATE")]
     faults: f64,
-    /// Changes of the configuration a second; 0 for none.
-    #[arg(long, default_value_t = plan::CHANGES, value_name = "RATE")]
+    /// Changes of the configuration per second; 0 for none.
+    #[arg(long, default_value_t = plan::DEFAULT_CHANGES_PER_SECOND, value_name = "RATE")]
     changes: f64,
     /// Regions over which hollow processes are spread.
     #[arg(long, default_value_t = 1)]
     regions: usize,
-    /// What is played; all of it without this.
+    /// The set-ups to run; all of them by default.
     #[arg(long, value_enum)]
     setup: Vec<Setup>,
-    /// The program that real schedulers run; without it the daemon that this program was built with.
+    /// The program that real schedulers run; by default the daemon that this program was built with.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Where the rows go as JSON.
+    /// Writes the rows as JSON to this file.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// The version that the JSON names; without it what MINTGATE_VERSION says.
+    /// The version named in the JSON; by default the value of MINTGATE_VERSION.
     #[arg(long, value_name = "TEXT")]
     version_name: Option<String>,
 }
@@ -108,7 +109,7 @@
     }
 }
 
-/// Plays what the options say and prints it; the error says what is wrong with them, or what failed.
+/// Runs the measurements selected by the options and prints them. Fails if the options are invalid or a part fails.
 pub fn run(options: &Options) -> Result<(), String> {
     if options.list {
         for series in series() {
@@ -124,21 +125,21 @@
     for (_, plan) in &points {
         plan.check()?;
     }
-    // What can't be written is known before anything is played.
-    let target = options.json.as_deref().map(Target::new).transpose()?;
-    let load = system::load();
-    let mut played = vec![];
-    for (n, (along, plan)) in points.iter().enumerate() {
+    // An unwritable target is detected before anything runs.
+    let target = options.json.as_deref().map(OutputFile::new).transpose()?;
+    let load = system::load_average();
+    let mut measured = vec![];
+    for (n, (axis_value, plan)) in points.iter().enumerate() {
         let place = format!("{} of {}", n + 1, points.len());
         eprintln!("scale: point {place}: {}", plan.sizes());
-        played.extend(play(plan)?.into_iter().map(|row| (*along, row)));
+        measured.extend(run_plan(plan)?.into_iter().map(|row| (*axis_value, row)));
     }
-    let fits = if points.len() > 1 { fit::fits(&played) } else { vec![] };
-    print!("{}", report::table(&played));
+    let fits = if points.len() > 1 { fit::fits(&measured) } else { vec![] };
+    print!("{}", report::table(&measured));
     for fit in &fits {
         println!("{fit}");
     }
-    let about = report::About {
+    let about = report::RunInfo {
         command: command(),
         version: options.version(),
         seed: options.seed,
@@ -148,32 +149,32 @@
             |name| name.to_string_lossy().into_owned(),
         ),
         cores: std::thread::available_parallelism().map_or(1, usize::from),
-        load: (load, system::load()),
+        load: (load, system::load_average()),
     };
-    let rows: Vec<Row> = played.into_iter().map(|(_, row)| row).collect();
+    let rows: Vec<Row> = measured.into_iter().map(|(_, row)| row).collect();
     target.map_or(Ok(()), |target| target.write(&about, &rows, &fits))
 }
 
-/// Plays all parts of a plan: those with hollow processes one after the other, and beside them those with real ones.
-fn play(plan: &Plan) -> Result<Vec<Row>, String> {
+/// Runs all parts of a plan: those with hollow processes in sequence, and those with real ones in parallel to them.
+fn run_plan(plan: &Plan) -> Result<Vec<Row>, String> {
     let (real, hollow): (Vec<Part>, Vec<Part>) = plan.parts().into_iter().partition(|part| part.is_real());
-    let lane = |parts: Vec<Part>| -> Result<Vec<Row>, String> {
+    let run_parts = |parts: Vec<Part>| -> Result<Vec<Row>, String> {
         let mut rows = vec![];
         for part in parts {
             eprintln!("scale: {part:?}");
-            rows.extend(children::play(plan, part)?);
+            rows.extend(children::run(plan, part)?);
         }
         Ok(rows)
     };
     std::thread::scope(|scope| {
-        let real = scope.spawn(|| lane(real));
-        let hollow = lane(hollow);
+        let real = scope.spawn(|| run_parts(real));
+        let hollow = run_parts(hollow);
         let real = real.join().unwrap_or_else(|_| Err("the real schedulers' rig has failed".to_owned()));
         Ok(hollow?.into_iter().chain(real?).collect())
     })
 }
 
-/// What was called, with the names of files but not their folders, which are this machine's alone.
+/// The command line, with file names instead of absolute paths, which are specific to this machine.
 fn command() -> String {
     let name = |text: String| match Path::new(&text).file_name() {
         Some(name) if text.starts_with('/') => name.to_string_lossy().into_owned(),
@@ -184,28 +185,28 @@
 
 impl Options {
     fn version(&self) -> String {
-        let told = self.version_name.clone().or_else(|| std::env::var("MINTGATE_VERSION").ok());
-        told.unwrap_or_else(|| "not told".to_owned())
+        let version = self.version_name.clone().or_else(|| std::env::var("MINTGATE_VERSION").ok());
+        version.unwrap_or_else(|| "not told".to_owned())
     }
 }
 
-/// Plays one part of a plan in this process.
-fn play_part(part: Part, plan: &Plan) -> Result<Vec<Row>, String> {
+/// Runs one part of a plan in this process.
+fn measure_part(part: Part, plan: &Plan) -> Result<Vec<Row>, String> {
     match part {
-        Part::Module => Ok(module::play(plan)),
-        Part::HollowMembers => members::play(plan),
-        Part::HollowDistribution => distribution::play(plan),
-        Part::RealAlone => real::play(plan),
-        Part::RealMembers => real_fleet::play(plan),
-        Part::RealDistribution => real_domain::play(plan),
+        Part::Module => Ok(module::run(plan)),
+        Part::HollowMembers => members::run(plan),
+        Part::HollowDistribution => distribution::run(plan),
+        Part::RealAlone => real::run(plan),
+        Part::RealMembers => real_fleet::run(plan),
+        Part::RealDistribution => real_domain::run(plan),
     }
 }
 
-/// Plays one part, as the process that [`run`] starts for it: the plan comes in, and the rows go out, as JSON.
+/// Runs one part in the child process that [`run`] starts for it: reads the plan and writes the rows as JSON.
 pub fn run_part(part: Part) -> Result<(), String> {
     let plan = std::io::read_to_string(std::io::stdin()).map_err(|e| format!("cannot read the plan: {e}"))?;
     let plan: Plan = serde_json::from_str(&plan).map_err(|e| format!("cannot read the plan: {e}"))?;
-    let rows = play_part(part, &plan)?;
+    let rows = measure_part(part, &plan)?;
     println!("{}", serde_json::to_string(&rows).map_err(|e| e.to_string())?);
     Ok(())
 }
--- a/lab/src/scale/configuration.rs
+++ b/lab/src/scale/configuration.rs
@@ -1,23 +1,23 @@
-//! Generated configurations: a list of so many workers, which changes one worker at a time.
+//! Generated platform configurations with a given number of workers, which change one worker at a time.
 
-use super::plan::ZONES;
+use super::plan::ZONE_COUNT;
 use crate::stand_ins;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Between the workers of two changes that follow each other: a prime, so that all have their turn.
-const STRIDE: usize = 7_919;
+/// Index distance between the workers of consecutive changes: a prime, so that every worker is changed in turn.
+const WORKER_STRIDE: usize = 7_919;
 
-/// A configuration as the platform writes it, whole.
+/// A complete configuration file of the platform.
 pub struct Configuration {
     targets: Vec<Value>,
-    /// All but the list.
-    rest: Value,
+    /// Everything but the list of workers.
+    base: Value,
     offset: u64,
 }
 
 impl Configuration {
-    /// A list of so many workers, of which all are to be reached at one address.
+    /// Creates a configuration with this many workers, all at one address.
     pub fn new(workers: usize, at: SocketAddr) -> Configuration {
         let target = |n: usize| {
             let mut target = stand_ins::worker_record(n as u32 + 1, at, "SERVING");
@@ -26,41 +26,41 @@
             target
         };
         let mut settings = stand_ins::settings();
-        settings["zones"] = (0..ZONES).map(zone).collect();
-        let rest = json!({"name": "n0", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "seed": "7",
+        settings["zones"] = (0..ZONE_COUNT).map(zone).collect();
+        let base = json!({"name": "n0", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "seed": "7",
             "settings": settings, "limits": {"sockets": 256, "memory_mb": 256}});
-        Configuration { targets: (0..workers).map(target).collect(), rest, offset: 1 }
+        Configuration { targets: (0..workers).map(target).collect(), base, offset: 1 }
     }
 
-    /// The same for one process of a fleet of so many.
-    pub fn of_member(&self, index: usize, size: usize) -> Configuration {
-        let mut rest = self.rest.clone();
-        rest["name"] = json!(format!("n{index}"));
-        rest["settings"]["fleetSize"] = json!(size);
-        rest["settings"]["index"] = json!(index);
-        rest["settings"]["bounds"]["peers"] = json!(true);
-        Configuration { targets: self.targets.clone(), rest, offset: self.offset }
+    /// The same configuration for one process of a fleet of `size`.
+    pub fn for_member(&self, index: usize, size: usize) -> Configuration {
+        let mut base = self.base.clone();
+        base["name"] = json!(format!("n{index}"));
+        base["settings"]["fleetSize"] = json!(size);
+        base["settings"]["index"] = json!(index);
+        base["settings"]["bounds"]["peers"] = json!(true);
+        Configuration { targets: self.targets.clone(), base, offset: self.offset }
     }
 
-    /// One worker begins to drain, or is back.
+    /// Switches one worker between serving and draining.
     pub fn change(&mut self) {
         let count = self.targets.len();
-        let worker = (self.offset as usize).wrapping_mul(STRIDE) % count;
+        let worker = (self.offset as usize).wrapping_mul(WORKER_STRIDE) % count;
         let state = &mut self.targets[worker]["state"];
         *state = json!(if *state == "SERVING" { "DRAINING" } else { "SERVING" });
         self.offset += 1;
     }
 
-    /// The file.
+    /// The content of the file.
     pub fn text(&self) -> Vec<u8> {
-        let mut whole = self.rest.clone();
+        let mut file = self.base.clone();
         let topology = json!({"rev": self.offset, "all": true, "targets": self.targets});
-        whole["known"] =
+        file["known"] =
             json!({"offset": self.offset, "batch": [{"offset": self.offset, "topology": topology}]});
-        whole.to_string().into_bytes()
+        file.to_string().into_bytes()
     }
 }
 
 fn zone(n: usize) -> Value {
-    json!(format!("z{:02}", n % ZONES))
+    json!(format!("z{:02}", n % ZONE_COUNT))
 }
--- a/lab/src/scale/distribution.rs
+++ b/lab/src/scale/distribution.rs
@@ -1,11 +1,11 @@
 //! Hollow processes of a distribution domain in virtual time: replicas that hold the log, relays, and schedulers as
-//! subscribers of one zone's workers each, all with the shipped machine. The domain holds them to its rules meanwhile, and
-//! a run in which one is broken has failed.
+//! subscribers of one zone's workers each, all with the production state machine. The domain checks its invariants
+//! throughout, and a run with a violation fails.
 
-use super::costs::{self, Cost, Moment};
-use super::faults::{Breakable, Faults};
-use super::plan::{HOLLOW_RELAYS, HOLLOW_REPLICAS, ZONES};
-use super::report::mean_and_most;
+use super::costs::{self, Cost, Snapshot};
+use super::faults::{FaultTarget, Faults};
+use super::plan::{HOLLOW_RELAYS, HOLLOW_REPLICAS, ZONE_COUNT};
+use super::report::mean_and_max;
 use super::{Plan, Row, Rows, Setup, system};
 use crate::domain::{self, Domain};
 use crate::hollow::HollowNode;
@@ -15,10 +15,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Control processes that die together at most: one in four, the publisher among them.
-const DEAD_RELAYS: usize = 2;
-/// Between processes of two regions.
-const FAR: Link = Link {
+/// Relays that are killed together with the publisher, which makes one in four control processes.
+const KILLED_RELAYS: usize = 2;
+/// The link between processes of different regions.
+const INTER_REGION_LINK: Link = Link {
     cut: false,
     loss: 0.0,
     duplicate: 0.0,
@@ -26,170 +26,173 @@
     delay: Duration::millis(40),
     jitter: Duration::millis(10),
 };
-/// How often a source looks what came of what it wants published, and how long it waits for a word of it.
-const AGAIN: Duration = Duration::millis(100);
-const UNANSWERED: Duration = Duration::millis(1_000);
-/// The longest that anything is waited for.
-const LONG: Duration = Duration::millis(120_000);
-/// Between two looks.
-const LOOK: Duration = Duration::millis(20);
-/// What is on its way arrives within this time, where it ever does.
-const ARRIVES: Duration = Duration::millis(10_000);
-/// Parents have forgotten a child that is gone after this.
-const FORGOTTEN: Duration = Duration::millis(5_000);
-/// Schedulers that start again at once, as after a zone's failure.
-const RETURN: usize = 900;
-/// Schedulers that start again among others that run.
-const STARTS: usize = 50;
+/// How often a source checks the outcome of a publication, and how long it waits for it before it submits again.
+const OUTCOME_POLL_INTERVAL: Duration = Duration::millis(100);
+const OUTCOME_TIMEOUT: Duration = Duration::millis(1_000);
+/// How long a domain may take to settle.
+const SETTLE_TIMEOUT: Duration = Duration::millis(120_000);
+/// How often restarted processes are checked.
+const RESTART_POLL_INTERVAL: Duration = Duration::millis(20);
+/// Time within which a change reaches all processes, if it ever does.
+const PROPAGATION_TIMEOUT: Duration = Duration::millis(10_000);
+/// Time after which parents have dropped a child that is gone.
+const CHILD_EXPIRY: Duration = Duration::millis(5_000);
+/// Schedulers restarted at once, as after the failure of a zone.
+const ZONE_SCHEDULERS: usize = 900;
+/// Schedulers restarted while the others run.
+const SINGLE_RESTARTS: usize = 50;
 
-const ROLES: [(Role, &str); 3] =
+const ROLE_NAMES: [(Role, &str); 3] =
     [(Role::Subscriber, "scheduler"), (Role::Relay, "relay"), (Role::Replica, "replica")];
 
-struct Play<'a> {
+struct Run<'a> {
     plan: &'a Plan,
     domain: Domain,
     rows: Rows,
 }
 
-/// Plays them.
-pub fn play(plan: &Plan) -> Result<Vec<Row>, String> {
+/// Runs the measurements of hollow processes of a domain.
+pub fn run(plan: &Plan) -> Result<Vec<Row>, String> {
     let own = std::process::id();
-    // What any domain needs once is there before anything is measured.
-    drop(standing(&Plan { workers: ZONES, ..plan.clone() }, 1)?);
-    let before = system::resident(own).unwrap_or(0);
-    let (control, _) = standing(plan, 0)?;
-    let control_bytes = system::growth_each(before, 1);
-    let before = system::resident(own).unwrap_or(0);
-    // What the first domain keeps must not be used again by the second, or that would seem to need less.
-    let (domain, filled) = standing(plan, plan.hollow)?;
-    let all_bytes = system::growth_each(before, 1);
+    // Allocates what any domain needs once, before memory is measured.
+    drop(settled_domain(&Plan { workers: ZONE_COUNT, ..plan.clone() }, 1)?);
+    let before = system::resident_bytes(own).unwrap_or(0);
+    let (control, _) = settled_domain(plan, 0)?;
+    let control_bytes = system::growth_per_process(before, 1);
+    let before = system::resident_bytes(own).unwrap_or(0);
+    // The first domain is kept: if the second one reused its memory, it would seem to need less.
+    let (domain, publish_time) = settled_domain(plan, plan.hollow)?;
+    let all_bytes = system::growth_per_process(before, 1);
     drop(control);
-    let mut play = Play { plan, domain, rows: Rows::new(plan, "hollow", Setup::Distribution) };
-    let each = (
+    let mut run = Run { plan, domain, rows: Rows::new(plan, "hollow", Setup::Distribution) };
+    let bytes_per_process = (
         (all_bytes - control_bytes).max(0.0) / plan.hollow as f64,
         control_bytes / (HOLLOW_REPLICAS + HOLLOW_RELAYS) as f64,
     );
-    play.rows.add("replica", "list_seconds", "s", filled.secs());
-    play.memory(each);
-    play.idle();
+    run.rows.add("replica", "list_seconds", "s", publish_time.secs());
+    run.add_memory(bytes_per_process);
+    run.measure_idle();
     if plan.changes > 0.0 {
-        play.with_changes()?;
-        play.quarter_dead()?;
+        run.measure_changes()?;
+        run.measure_quarter_dead()?;
     }
-    play.starts()?;
-    play.come_back()?;
-    let broken = play.domain.audit();
-    if !broken.is_empty() {
-        return Err(format!("a rule of the domain was broken: {}", broken.join("; ")));
+    run.restart_single()?;
+    run.restart_zone()?;
+    let violations = run.domain.audit();
+    if !violations.is_empty() {
+        return Err(format!("an invariant of the domain was violated: {}", violations.join("; ")));
     }
-    Ok(play.rows.rows)
+    Ok(run.rows.rows)
 }
 
-/// A domain in which the whole list is in force everywhere, and how long it took to be committed.
-fn standing(plan: &Plan, subscribers: usize) -> Result<(Domain, Duration), String> {
+/// A domain in which all processes have installed the complete list, and how long publishing it took.
+fn settled_domain(plan: &Plan, subscribers: usize) -> Result<(Domain, Duration), String> {
     let mut domain = Domain::new(domain::Plan {
         replicas: HOLLOW_REPLICAS,
         relays: HOLLOW_RELAYS,
         subscribers,
         regions: plan.regions,
-        zones: ZONES,
+        zones: ZONE_COUNT,
         zones_per_subscriber: 1,
         workers: plan.workers,
-        inter_region_link: FAR,
+        inter_region_link: INTER_REGION_LINK,
         seed: plan.seed,
         ..domain::Plan::default()
     });
-    let begun = domain.now();
+    let started_at = domain.now();
     domain.publish_all()?;
-    let filled = domain.now() - begun;
-    if !domain.settle(LONG) {
-        return Err(format!("{subscribers} schedulers did not have the list within {} s", LONG.secs()));
+    let publish_time = domain.now() - started_at;
+    if !domain.settle(SETTLE_TIMEOUT) {
+        return Err(format!(
+            "{subscribers} schedulers did not have the list within {} s",
+            SETTLE_TIMEOUT.secs()
+        ));
     }
-    let took = domain.now() - begun;
+    let took = domain.now() - started_at;
     eprintln!(
         "scale: {subscribers} hollow subscribers have the list after {:.1} s of virtual time",
         took.secs()
     );
-    Ok((domain, filled))
+    Ok((domain, publish_time))
 }
 
-/// A change that the source wants published.
-struct Asked {
+/// A change that the source publishes, and submits again until it is committed.
+struct PendingChange {
     since: Timestamp,
     changes: Vec<Change>,
     ticket: u64,
-    /// When it was asked for last.
-    last: Timestamp,
+    /// When it was last submitted.
+    submitted_at: Timestamp,
     version: Option<Version>,
 }
 
-impl Asked {
-    fn new(domain: &mut Domain, changes: Vec<Change>) -> Asked {
+impl PendingChange {
+    fn new(domain: &mut Domain, changes: Vec<Change>) -> PendingChange {
         let (since, ticket) = (domain.now(), domain.publish(changes.clone()));
-        Asked { since, changes, ticket, last: since, version: None }
+        PendingChange { since, changes, ticket, submitted_at: since, version: None }
     }
 
-    /// Looks what came of it, and asks again where nothing did.
-    fn look(&mut self, domain: &mut Domain) {
+    /// Checks the outcome, and submits the change again if it failed or timed out.
+    fn poll(&mut self, domain: &mut Domain) {
         if self.version.is_some() {
             return;
         }
         let now = domain.now();
         match domain.outcome(self.ticket) {
             Some(Ok(version)) => self.version = Some(version),
-            None if now - self.last < UNANSWERED => {}
-            _ => (self.ticket, self.last) = (domain.publish(self.changes.clone()), now),
+            None if now - self.submitted_at < OUTCOME_TIMEOUT => {}
+            _ => (self.ticket, self.submitted_at) = (domain.publish(self.changes.clone()), now),
         }
     }
 
-    fn is_wanted_at(&self, node: &HollowNode) -> bool {
+    fn concerns(&self, node: &HollowNode) -> bool {
         self.changes.iter().any(|change| node.interest().covers(change.topic))
     }
 }
 
-/// When a process had anything in force first.
+/// When a process installed its first version.
 fn first_install(node: &HollowNode) -> Option<Timestamp> {
     node.installs().first().map(|(at, _)| *at)
 }
 
-impl Play<'_> {
-    fn moment(&self) -> Moment {
+impl Run<'_> {
+    fn snapshot(&self) -> Snapshot {
         let traffic = self.domain.traffic();
-        let all = ROLES.iter().flat_map(|(role, _)| self.domain.running(*role));
-        Moment::of(
+        let all = ROLE_NAMES.iter().flat_map(|(role, _)| self.domain.running(*role));
+        Snapshot::new(
             all.map(|(at, node)| (at, traffic.get(&at).copied().unwrap_or_default(), node.busy_time())),
         )
     }
 
-    fn memory(&mut self, (subscriber, control): (f64, f64)) {
-        for (role, name) in ROLES {
+    fn add_memory(&mut self, (subscriber, control): (f64, f64)) {
+        for (role, name) in ROLE_NAMES {
             let bytes = if role == Role::Subscriber { subscriber } else { control };
             self.rows.add(name, "resident_mb", "MB", bytes / 1e6);
             let records = self.domain.running(role).map(|(_, node)| node.node().records().count() as f64);
-            let records = mean_and_most(records).0;
+            let records = mean_and_max(records).0;
             self.rows.add(name, "records", "records", records);
         }
     }
 
     fn add_costs(&mut self, costs: &[Cost]) {
-        for (role, name) in ROLES {
+        for (role, name) in ROLE_NAMES {
             let at: BTreeMap<SocketAddr, ()> = self.domain.running(role).map(|(at, _)| (at, ())).collect();
             let of: Vec<Cost> = costs.iter().filter(|cost| at.contains_key(&cost.at)).copied().collect();
             costs::add(&mut self.rows, name, &of);
         }
     }
 
-    fn idle(&mut self) {
-        let from = self.moment();
+    fn measure_idle(&mut self) {
+        let from = self.snapshot();
         self.domain.run(Duration::millis(self.plan.seconds * 1_000));
-        let costs = self.moment().since(&from, self.plan.seconds as f64);
+        let costs = self.snapshot().since(&from, self.plan.seconds as f64);
         self.add_costs(&costs);
     }
 
-    /// Plays the measured seconds with changes, and with faults where they are wanted; the changes, and what
-    /// the processes cost meanwhile. A change that could not be published is asked for again, as by a publisher's source.
-    fn change(&mut self, rate: f64) -> (Vec<Asked>, Vec<Cost>) {
-        let from = self.moment();
+    /// Runs the measured seconds with changes and with `rate` faults per second. Returns the changes and the resource usage.
+    /// A change that could not be published is submitted again, as a publisher's source does.
+    fn run_changes(&mut self, rate: f64) -> (Vec<PendingChange>, Vec<Cost>) {
+        let from = self.snapshot();
         let base = self.domain.now();
         let end = base + Duration::millis(self.plan.seconds * 1_000);
         let step = Duration((1e9 / self.plan.changes) as u64);
@@ -199,57 +202,62 @@
         let mut all = vec![];
         while self.domain.now() < end {
             let now = self.domain.now();
-            let until = faults.due().into_iter().chain([next, end, now + AGAIN]).min().unwrap_or(end);
+            let until =
+                faults.due().into_iter().chain([next, end, now + OUTCOME_POLL_INTERVAL]).min().unwrap_or(end);
             self.domain.run(Duration(until.0.saturating_sub(now.0)));
-            faults.happen(&mut self.domain, count);
+            faults.apply_due(&mut self.domain, count);
             if next <= self.domain.now() && next < end {
                 let changes = self.domain.modify_workers(1);
-                all.push(Asked::new(&mut self.domain, changes));
+                all.push(PendingChange::new(&mut self.domain, changes));
                 next = next + step;
             }
-            all.iter_mut().for_each(|asked| asked.look(&mut self.domain));
+            all.iter_mut().for_each(|pending| pending.poll(&mut self.domain));
         }
-        faults.heal(&mut self.domain);
-        let costs = self.moment().since(&from, self.plan.seconds as f64);
-        let arrived = self.domain.now() + ARRIVES;
-        while self.domain.now() < arrived && all.iter().any(|asked| asked.version.is_none()) {
-            self.domain.run(AGAIN);
-            all.iter_mut().for_each(|asked| asked.look(&mut self.domain));
+        faults.end_all(&mut self.domain);
+        let costs = self.snapshot().since(&from, self.plan.seconds as f64);
+        let arrived = self.domain.now() + PROPAGATION_TIMEOUT;
+        while self.domain.now() < arrived && all.iter().any(|pending| pending.version.is_none()) {
+            self.domain.run(OUTCOME_POLL_INTERVAL);
+            all.iter_mut().for_each(|pending| pending.poll(&mut self.domain));
         }
-        self.domain.run(ARRIVES);
+        self.domain.run(PROPAGATION_TIMEOUT);
         (all, costs)
     }
 
-    fn with_changes(&mut self) -> Result<(), String> {
-        let like = self.rows.like();
+    fn measure_changes(&mut self) -> Result<(), String> {
+        let like = self.rows.template();
         (like.changes_per_second, like.faults_per_second) = (self.plan.changes, self.plan.faults);
-        let (all, costs) = self.change(self.plan.faults);
+        let (all, costs) = self.run_changes(self.plan.faults);
         self.add_costs(&costs);
-        self.reached("seconds_to_all", &all);
+        self.add_propagation("seconds_to_all", &all);
         self.settle()
     }
 
     fn settle(&mut self) -> Result<(), String> {
-        if self.domain.settle(LONG) {
+        if self.domain.settle(SETTLE_TIMEOUT) {
             Ok(())
         } else {
-            Err(format!("not all had the last version {} s after the changes", LONG.secs()))
+            Err(format!(
+                "not all processes had the last version {} s after the changes",
+                SETTLE_TIMEOUT.secs()
+            ))
         }
     }
 
-    /// Seconds from when a change was asked for first until it was in force at those that want it and ran by then.
-    fn reached(&mut self, quantity: &str, all: &[Asked]) {
+    /// Adds the times from the first submission of each change until it was installed at the interested processes that ran
+    /// by then.
+    fn add_propagation(&mut self, quantity: &str, all: &[PendingChange]) {
         let (mut published, mut missing) = (0.0, 0.0);
         let mut seconds: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-        for asked in all {
-            let Some(version) = asked.version else { continue };
+        for pending in all {
+            let Some(version) = pending.version else { continue };
             published += 1.0;
-            for (role, name) in ROLES {
-                for (_, node) in self.domain.running(role).filter(|(_, node)| asked.is_wanted_at(node)) {
+            for (role, name) in ROLE_NAMES {
+                for (_, node) in self.domain.running(role).filter(|(_, node)| pending.concerns(node)) {
                     match node.in_force(version) {
-                        // It has started since, with all there was.
-                        _ if first_install(node).is_none_or(|first| first > asked.since) => {}
-                        Some(at) => seconds.entry(name).or_default().push((at - asked.since).secs()),
+                        // The process started later and received the change with its initial list.
+                        _ if first_install(node).is_none_or(|first| first > pending.since) => {}
+                        Some(at) => seconds.entry(name).or_default().push((at - pending.since).secs()),
                         None => missing += 1.0,
                     }
                 }
@@ -263,24 +271,24 @@
         self.rows.add("replica", &format!("{quantity}_published_part"), "of 1", part);
     }
 
-    /// One control process in four dies, the publisher among them, while changes come as before; and then they come
-    /// without those.
-    fn quarter_dead(&mut self) -> Result<(), String> {
+    /// Kills one control process in four, the publisher among them, and measures changes while they fail over and then
+    /// without them.
+    fn measure_quarter_dead(&mut self) -> Result<(), String> {
         let holder = self.domain.holder().unwrap_or(0);
-        let dead = (0..DEAD_RELAYS).map(|index| (Role::Relay, index)).chain([(Role::Replica, holder)]);
-        let dead: Vec<(Role, usize)> = dead.collect();
-        dead.iter().for_each(|(role, index)| self.domain.kill(*role, *index));
-        let (dying, _) = self.change(0.0);
-        self.reached("seconds_to_all_as_a_quarter_dies", &dying);
-        let (without, _) = self.change(0.0);
-        self.reached("seconds_to_all_quarter_dead", &without);
-        dead.iter().for_each(|(role, index)| self.domain.start(*role, *index));
-        let like = self.rows.like();
+        let killed = (0..KILLED_RELAYS).map(|index| (Role::Relay, index)).chain([(Role::Replica, holder)]);
+        let killed: Vec<(Role, usize)> = killed.collect();
+        killed.iter().for_each(|(role, index)| self.domain.kill(*role, *index));
+        let (during_failure, _) = self.run_changes(0.0);
+        self.add_propagation("seconds_to_all_as_a_quarter_dies", &during_failure);
+        let (after_failure, _) = self.run_changes(0.0);
+        self.add_propagation("seconds_to_all_quarter_dead", &after_failure);
+        killed.iter().for_each(|(role, index)| self.domain.start(*role, *index));
+        let like = self.rows.template();
         (like.changes_per_second, like.faults_per_second) = (0.0, 0.0);
         self.settle()
     }
 
-    /// Starts processes again; how long each took until it had the list in force.
+    /// Restarts processes and returns the seconds that each took until it had installed the list.
     fn restart(&mut self, role: Role, indices: &[usize], down: Duration) -> Result<Vec<f64>, String> {
         indices.iter().for_each(|index| self.domain.kill(role, *index));
         self.domain.run(down);
@@ -290,11 +298,11 @@
             let has = |index: &usize| domain.process(role, *index).and_then(first_install).is_some();
             indices.iter().all(has)
         };
-        if !self.domain.run_until(LOOK, LONG, have) {
+        if !self.domain.run_until(RESTART_POLL_INTERVAL, SETTLE_TIMEOUT, have) {
             return Err(format!(
-                "of {} that started again not all had the list within {} s",
+                "not all of {} restarted processes had the list within {} s",
                 indices.len(),
-                LONG.secs()
+                SETTLE_TIMEOUT.secs()
             ));
         }
         let took = |index: &usize| {
@@ -303,40 +311,40 @@
         Ok(indices.iter().filter_map(took).collect())
     }
 
-    /// Single processes start again while the others run.
-    fn starts(&mut self) -> Result<(), String> {
+    /// Restarts single processes while the others run.
+    fn restart_single(&mut self) -> Result<(), String> {
         let follower = (0..HOLLOW_REPLICAS).find(|index| Some(*index) != self.domain.holder()).unwrap_or(0);
-        let some: Vec<usize> = (0..self.plan.hollow.min(STARTS)).collect();
+        let some: Vec<usize> = (0..self.plan.hollow.min(SINGLE_RESTARTS)).collect();
         for (role, indices) in
             [(Role::Subscriber, &some[..]), (Role::Relay, &[0]), (Role::Replica, &[follower])]
         {
-            let seconds = self.restart(role, indices, FORGOTTEN)?;
-            let name = ROLES.iter().find(|(other, _)| *other == role).map_or("", |(_, name)| *name);
-            self.rows.add(name, "start_seconds", "s", mean_and_most(seconds).0);
+            let seconds = self.restart(role, indices, CHILD_EXPIRY)?;
+            let name = ROLE_NAMES.iter().find(|(other, _)| *other == role).map_or("", |(_, name)| *name);
+            self.rows.add(name, "start_seconds", "s", mean_and_max(seconds).0);
         }
         self.settle()
     }
 
-    /// All schedulers of a zone start again at once.
-    fn come_back(&mut self) -> Result<(), String> {
-        let indices: Vec<usize> = (0..self.plan.hollow.min(RETURN)).collect();
+    /// Restarts all schedulers of a zone at once.
+    fn restart_zone(&mut self) -> Result<(), String> {
+        let indices: Vec<usize> = (0..self.plan.hollow.min(ZONE_SCHEDULERS)).collect();
         self.domain.reset_peaks();
-        let mut seconds = self.restart(Role::Subscriber, &indices, FORGOTTEN)?;
+        let mut seconds = self.restart(Role::Subscriber, &indices, CHILD_EXPIRY)?;
         let received = |index: &usize| {
             let at = self.domain.address(Role::Subscriber, *index);
             self.domain.traffic().get(&at).map_or(0.0, |traffic| traffic.bytes_received as f64)
         };
-        let sample: Vec<f64> = indices.iter().take(STARTS).map(received).collect();
+        let sample: Vec<f64> = indices.iter().take(SINGLE_RESTARTS).map(received).collect();
         let peak = self.domain.peaks().values().copied().max().unwrap_or(0);
         self.rows.add("scheduler", "return_processes", "processes", indices.len() as f64);
         self.rows.add_seconds("scheduler", "return_seconds", &mut seconds);
-        self.rows.add("scheduler", "return_bytes", "B", mean_and_most(sample).0);
+        self.rows.add("scheduler", "return_bytes", "B", mean_and_max(sample).0);
         self.rows.add("relay", "return_bytes_per_second_max", "B/s", peak as f64);
         self.settle()
     }
 }
 
-impl Breakable for Domain {
+impl FaultTarget for Domain {
     fn now(&self) -> Timestamp {
         Domain::now(self)
     }
@@ -356,9 +364,9 @@
         Domain::set_suspended(self, role, index, stopped);
     }
 
-    fn cut(&mut self, index: usize, cut: bool) {
+    fn set_isolated(&mut self, index: usize, isolated: bool) {
         let (role, index) = self.all()[index];
-        let well = if self.plan().regions > 1 { FAR } else { self.plan().link };
-        self.set_links_of(role, index, Link { cut, ..well });
+        let healthy = if self.plan().regions > 1 { INTER_REGION_LINK } else { self.plan().link };
+        self.set_links_of(role, index, Link { cut: isolated, ..healthy });
     }
 }
--- a/lab/src/scale/fit.rs
+++ b/lab/src/scale/fit.rs
@@ -1,17 +1,17 @@
-//! A line through the figures of a series, and how straight they lie on it.
+//! Least-squares lines through the figures of a series, and their classification as flat, straight or curved.
 
 use super::Row;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The largest part of the values by which flat ones differ.
-const FLAT: f64 = 0.15;
-/// What a straight line explains of the differences at least, and how far, as a part of the largest value, it lies from any
-/// value at most.
-const STRAIGHT: (f64, f64) = (0.98, 0.1);
+/// Maximum spread of values that count as flat, as a fraction of the largest.
+const MAX_FLAT_SPREAD: f64 = 0.15;
+/// Minimum r squared of a straight line, and the maximum distance of any value from it, as a fraction of the largest
+/// value.
+const STRAIGHT_LIMITS: (f64, f64) = (0.98, 0.1);
 
-/// See the module's page.
+/// A fitted line and its classification.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fit {
     /// What was fitted: how it was measured, the set-up, the role and the quantity.
@@ -22,19 +22,19 @@
     pub sizes: Vec<f64>,
     /// The values there.
     pub values: Vec<f64>,
-    /// What one more along the axis adds.
+    /// Increase of the value per unit along the axis.
     pub slope: f64,
-    /// What there is without any.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// The part of the values' differences that the line explains.
+    /// Coefficient of determination: the fraction of the variance that the line explains.
     pub r_squared: f64,
-    /// The power of the size with which values grow, where all are over 0.
+    /// Exponent of the size with which the values grow, if all sizes and values are positive.
     pub power: Option<f64>,
     /// `flat`, `straight`, or `curve`.
     pub shape: &'static str,
 }
 
-/// Least squares: slope, intercept and r squared; none where the sizes do not differ.
+/// Slope, intercept and r squared by least squares; `None` if the sizes do not differ.
 fn line(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
     let count = points.len() as f64;
     let mean = |value: fn(&(f64, f64)) -> f64| points.iter().map(value).sum::<f64>() / count;
@@ -49,7 +49,7 @@
     Some((slope, y - slope * x, explained))
 }
 
-/// The fit of values by sizes; none for fewer than three sizes.
+/// Fits values by sizes; `None` for fewer than three points.
 pub fn fit(of: String, unit: String, points: &[(f64, f64)]) -> Option<Fit> {
     if points.len() < 3 {
         return None;
@@ -57,14 +57,14 @@
     let (slope, intercept, r_squared) = line(points)?;
     let logs = points.iter().map(|(x, y)| (*x > 0.0 && *y > 0.0).then(|| (x.ln(), y.ln())));
     let power = logs.collect::<Option<Vec<_>>>().and_then(|logs| line(&logs)).map(|(power, ..)| power);
-    let most = points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
+    let largest = points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
     let (low, high) = points
         .iter()
         .fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), point| (low.min(point.1), high.max(point.1)));
-    let off = points.iter().map(|(x, y)| (slope * x + intercept - y).abs()).fold(0.0, f64::max);
-    let shape = if high - low <= FLAT * most {
+    let max_deviation = points.iter().map(|(x, y)| (slope * x + intercept - y).abs()).fold(0.0, f64::max);
+    let shape = if high - low <= MAX_FLAT_SPREAD * largest {
         "flat"
-    } else if r_squared >= STRAIGHT.0 && off <= STRAIGHT.1 * most {
+    } else if r_squared >= STRAIGHT_LIMITS.0 && max_deviation <= STRAIGHT_LIMITS.1 * largest {
         "straight"
     } else {
         "curve"
@@ -73,10 +73,10 @@
     Some(Fit { of, unit, sizes, values, slope, intercept, r_squared, power, shape })
 }
 
-/// The fits of all that was measured at three sizes or more along an axis.
+/// The fits of all quantities measured at three or more sizes along an axis.
 pub fn fits(rows: &[(f64, Row)]) -> Vec<Fit> {
     let mut groups: BTreeMap<String, (String, Vec<(f64, f64)>)> = BTreeMap::new();
-    for (along, row) in rows {
+    for (axis_value, row) in rows {
         let mut of = format!("{} {} {} {}", row.measured, row.setup, row.role, row.quantity);
         for (with, name) in [(row.changes_per_second > 0.0, "changes"), (row.functions > 0, "functions")] {
             if with {
@@ -84,7 +84,7 @@
             }
         }
         let group = groups.entry(of).or_insert_with(|| (row.unit.clone(), vec![]));
-        group.1.push((*along, row.value));
+        group.1.push((*axis_value, row.value));
     }
     groups.into_iter().filter_map(|(of, (unit, points))| fit(of, unit, &points)).collect()
 }
--- a/lab/src/scale/members.rs
+++ b/lab/src/scale/members.rs
@@ -1,10 +1,10 @@
-//! Hollow members of one fleet in virtual time: membership, gossip, leases and the overload controller as shipped, and
-//! the list as it comes today, by a whole configuration for each change.
+//! Hollow members of one fleet in virtual time: the production membership, gossip, leases and overload controller. The
+//! cost of reading a complete configuration file for each change of the list is measured separately and added.
 
 use super::configuration::Configuration;
-use super::costs::{self, Cost, Moment};
-use super::faults::{Breakable, Faults};
-use super::report::{mean_and_most, quantile};
+use super::costs::{self, Cost, Snapshot};
+use super::faults::{FaultTarget, Faults};
+use super::report::{mean_and_max, quantile};
 use super::{Plan, Row, Rows, Setup, system};
 use crate::network::{Link, Network, Outgoing, Process};
 use mintgate::core::Core;
@@ -21,78 +21,86 @@
 use std::time::Instant;
 
 /// Members that grant leases.
-const ELECTORS: usize = 3;
-/// The terms and parts that an operator's file has by default.
-const TERM: Duration = Duration::millis(4_000);
+const ELECTOR_COUNT: usize = 3;
+/// Lease term, clock drift and partitions per task, as in an operator's file by default.
+const LEASE_TERM: Duration = Duration::millis(4_000);
 const DRIFT_PPM: u64 = 5_000;
-const PARTS: u16 = 3;
-/// Answers are wanted within this time, by the strictest class.
+const PARTITIONS_PER_TASK: u16 = 3;
+/// Latency objective of the strictest class.
 const LATENCY_OBJECTIVE: Duration = Duration::millis(1_000);
-/// Time between two neighbouring regions, one way.
-const HOP: Duration = Duration::millis(12);
-/// Members start within this time.
-const STARTS: Duration = Duration::millis(1_000);
-/// The longest that is waited for all to know all.
-const SETTLES: Duration = Duration::millis(60_000);
-/// Between two looks whether they do.
-const LOOK: Duration = Duration::millis(250);
-/// What a change that is told as news is waited for beyond the measured time.
-const REACHES: Duration = Duration::millis(10_000);
+/// One-way latency between neighbouring regions.
+const HOP_DELAY: Duration = Duration::millis(12);
+/// Members start at random times within this window.
+const START_WINDOW: Duration = Duration::millis(1_000);
+/// How long all members may take to know all others.
+const SETTLE_TIMEOUT: Duration = Duration::millis(60_000);
+/// How often that is checked.
+const SETTLE_POLL_INTERVAL: Duration = Duration::millis(250);
+/// Time for gossip updates to arrive after the measured time.
+const GOSSIP_DRAIN_TIME: Duration = Duration::millis(10_000);
 
-/// A member and what it has cost.
+/// A member with its measurements.
 struct Member {
-    machine: FleetNode,
+    node: FleetNode,
     started: Timestamp,
-    /// When it is told next what has come to it.
-    demand: Timestamp,
-    /// When news came here first, by the worker that it is of.
-    news: BTreeMap<u64, Timestamp>,
-    /// When it knew all others.
-    knew_all: Option<Timestamp>,
+    /// When it is next given the demand.
+    next_demand: Timestamp,
+    /// When the gossip update of each worker first arrived here.
+    updates: BTreeMap<u64, Timestamp>,
+    /// When it first knew all others.
+    knew_all_at: Option<Timestamp>,
     size: usize,
-    /// In the machine's own calls.
-    spent: std::time::Duration,
+    /// Wall time in the state machine's own calls.
+    busy_time: std::time::Duration,
 }
 
 impl Member {
     fn new(now: Timestamp, index: usize, incarnation: u64, plan: &Plan, regions: Regions) -> Member {
-        let electors: Vec<u32> = (0..ELECTORS as u32).collect();
+        let electors: Vec<u32> = (0..ELECTOR_COUNT as u32).collect();
         let size = plan.members();
         let config = fleet::FleetConfig {
             process: fleet::Process { index: index as u32, incarnation },
             generation: incarnation,
-            address: place(index),
+            address: address_of(index),
             fleet_hash: message::fleet("scale", &[]),
-            acceptors: electors.iter().map(|index| (*index, place(*index as usize))).collect(),
+            acceptors: electors.iter().map(|index| (*index, address_of(*index as usize))).collect(),
             address_overrides: BTreeMap::new(),
-            lease: lease::LeaseConfig::new(electors, TERM, TERM, DRIFT_PPM),
-            delay: regions.longest(),
+            lease: lease::LeaseConfig::new(electors, LEASE_TERM, LEASE_TERM, DRIFT_PPM),
+            delay: regions.max_delay(),
             size: size as u32,
-            parts: PARTS,
+            parts: PARTITIONS_PER_TASK,
             shed_latency_objective: Some(LATENCY_OBJECTIVE),
             publishes: false,
             fence_floor: now.0 / 1_000_000,
             seed: plan.seed.wrapping_mul(1_000_003).wrapping_add(incarnation),
         };
-        let begun = Instant::now();
-        let machine = FleetNode::new(now, config);
-        let spent = begun.elapsed();
-        Member { machine, started: now, demand: now, news: BTreeMap::new(), knew_all: None, size, spent }
+        let started_at = Instant::now();
+        let node = FleetNode::new(now, config);
+        let busy_time = started_at.elapsed();
+        Member {
+            node,
+            started: now,
+            next_demand: now,
+            updates: BTreeMap::new(),
+            knew_all_at: None,
+            size,
+            busy_time,
+        }
     }
 
     fn handle(&mut self, now: Timestamp, event: FleetInput) -> Outgoing {
-        let begun = Instant::now();
-        let all = self.machine.handle(now, event);
-        self.spent += begun.elapsed();
-        if self.knew_all.is_none() && self.machine.members().count() + 1 >= self.size {
-            self.knew_all = Some(now);
+        let started_at = Instant::now();
+        let all = self.node.handle(now, event);
+        self.busy_time += started_at.elapsed();
+        if self.knew_all_at.is_none() && self.node.members().count() + 1 >= self.size {
+            self.knew_all_at = Some(now);
         }
         let mut out = vec![];
         for what in all {
             match what {
                 FleetOutput::Send(to, bytes) => out.push((to, bytes)),
                 FleetOutput::Received(GossipTopic::Worker(worker), ..) => {
-                    self.news.entry(worker).or_insert(now);
+                    self.updates.entry(worker).or_insert(now);
                 }
                 _ => {}
             }
@@ -103,7 +111,7 @@
 
 impl Process for Member {
     fn next_timeout(&self) -> Option<Timestamp> {
-        self.machine.next_timeout().into_iter().chain([self.demand]).min()
+        self.node.next_timeout().into_iter().chain([self.next_demand]).min()
     }
 
     fn on_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) -> Outgoing {
@@ -111,17 +119,17 @@
     }
 
     fn on_timer(&mut self, now: Timestamp) -> Outgoing {
-        if self.demand > now {
+        if self.next_demand > now {
             return self.handle(now, FleetInput::Timer);
         }
-        self.demand = now + overload::TICK_INTERVAL;
-        // What comes stays well under what the workers bear: nothing is shed.
+        self.next_demand = now + overload::TICK_INTERVAL;
+        // The demand stays well below the workers' capacity, so that nothing is shed.
         let demand = Demand { offered: [100, 11, 0, 0], served: 110, open: 5 };
         self.handle(now, FleetInput::Demand(demand))
     }
 }
 
-fn place(index: usize) -> SocketAddr {
+fn address_of(index: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(0x7f00_0001 + index as u32), 9_200))
 }
 
@@ -130,7 +138,7 @@
     u32::from(*at.ip()).saturating_sub(0x7f00_0001) as usize
 }
 
-/// So many regions on a ring; a process belongs to the one of its index, by turns.
+/// A number of regions on a ring. Process `n` is in region `n % regions`.
 #[derive(Clone, Copy)]
 struct Regions(usize);
 
@@ -138,50 +146,51 @@
     fn link(self, from: usize, to: usize) -> Link {
         let apart = (from % self.0).abs_diff(to % self.0);
         let hops = apart.min(self.0 - apart) as u64;
-        let well = Link::default();
-        let (delay, jitter) = (well.delay.0 + hops * HOP.0, well.jitter.0 + hops * HOP.0 / 10);
-        Link { delay: Duration(delay), jitter: Duration(jitter), ..well }
+        let healthy = Link::default();
+        let (delay, jitter) =
+            (healthy.delay.0 + hops * HOP_DELAY.0, healthy.jitter.0 + hops * HOP_DELAY.0 / 10);
+        Link { delay: Duration(delay), jitter: Duration(jitter), ..healthy }
     }
 
-    /// The longest that processes are told a datagram takes: what an operator's file has by default, or twice what the
-    /// farthest regions need.
-    fn longest(self) -> Duration {
+    /// The maximum delay that processes are configured with: the default of an operator's file, or twice the latency
+    /// between the farthest regions if that is longer.
+    fn max_delay(self) -> Duration {
         let far = self.link(0, self.0 / 2);
         Duration::millis(100).max(Duration((far.delay.0 + far.jitter.0) * 2))
     }
 }
 
-/// All members, and what cuts them off.
+/// All members, and those that are isolated.
 struct Fleet<'a> {
     plan: &'a Plan,
     network: Network<Member>,
     regions: Regions,
     incarnation: u64,
-    cut: Rc<RefCell<BTreeSet<usize>>>,
+    isolated: Rc<RefCell<BTreeSet<usize>>>,
 }
 
-impl Breakable for Fleet<'_> {
+impl FaultTarget for Fleet<'_> {
     fn now(&self) -> Timestamp {
         self.network.now()
     }
 
     fn kill(&mut self, index: usize) {
-        self.network.kill(place(index));
+        self.network.kill(address_of(index));
     }
 
     fn start(&mut self, index: usize) {
         self.incarnation += 1;
         let member = Member::new(self.network.now(), index, self.incarnation, self.plan, self.regions);
-        self.network.start(place(index), member);
+        self.network.start(address_of(index), member);
     }
 
-    fn set_suspended(&mut self, index: usize, stopped: bool) {
-        self.network.set_suspended(place(index), stopped);
+    fn set_suspended(&mut self, index: usize, suspended: bool) {
+        self.network.set_suspended(address_of(index), suspended);
     }
 
-    fn cut(&mut self, index: usize, cut: bool) {
-        let mut all = self.cut.borrow_mut();
-        if cut {
+    fn set_isolated(&mut self, index: usize, isolated: bool) {
+        let mut all = self.isolated.borrow_mut();
+        if isolated {
             all.insert(index);
         } else {
             all.remove(&index);
@@ -189,45 +198,45 @@
     }
 }
 
-/// Plays them.
-pub fn play(plan: &Plan) -> Result<Vec<Row>, String> {
-    let before = system::resident(std::process::id()).unwrap_or(0);
+/// Runs the measurements of hollow members.
+pub fn run(plan: &Plan) -> Result<Vec<Row>, String> {
+    let before = system::resident_bytes(std::process::id()).unwrap_or(0);
     let mut fleet = Fleet::new(plan);
     fleet.start_all();
     let settled = fleet.settle();
     eprintln!(
-        "scale: {} hollow members have met after {:.1} s of virtual time",
+        "scale: {} hollow members know each other after {:.1} s of virtual time",
         plan.members(),
         settled.secs()
     );
-    let from = fleet.moment();
-    let told = fleet.measure();
-    let costs = fleet.moment().since(&from, plan.seconds as f64);
-    // What was told last may still be on its way.
-    let end = fleet.now() + REACHES;
+    let from = fleet.snapshot();
+    let published_at = fleet.measure();
+    let costs = fleet.snapshot().since(&from, plan.seconds as f64);
+    // The last gossip updates may still be in flight.
+    let end = fleet.now() + GOSSIP_DRAIN_TIME;
     fleet.network.run_until(end);
-    let memory = system::growth_each(before, plan.members());
-    Ok(fleet.rows(&costs, &told, memory))
+    let memory = system::growth_per_process(before, plan.members());
+    Ok(fleet.rows(&costs, &published_at, memory))
 }
 
 impl<'a> Fleet<'a> {
     fn new(plan: &'a Plan) -> Fleet<'a> {
         let regions = Regions(plan.regions);
         let mut network = Network::new(plan.seed, Link::default());
-        let cut = Rc::new(RefCell::new(BTreeSet::new()));
-        let table = cut.clone();
+        let isolated = Rc::new(RefCell::new(BTreeSet::new()));
+        let shared_isolated = isolated.clone();
         network.set_links(move |from, to| {
-            let (table, from, to) = (table.borrow(), index_of(from), index_of(to));
-            Some(Link { cut: table.contains(&from) || table.contains(&to), ..regions.link(from, to) })
+            let (isolated, from, to) = (shared_isolated.borrow(), index_of(from), index_of(to));
+            Some(Link { cut: isolated.contains(&from) || isolated.contains(&to), ..regions.link(from, to) })
         });
-        Fleet { plan, network, regions, incarnation: 0, cut }
+        Fleet { plan, network, regions, incarnation: 0, isolated }
     }
 
     fn start_all(&mut self) {
         let mut rng = SmallRng::seed_from_u64(self.plan.seed);
         let base = self.now();
-        let starts =
-            (0..self.plan.members()).map(|index| (base + Duration(rng.random_range(0..STARTS.0)), index));
+        let starts = (0..self.plan.members())
+            .map(|index| (base + Duration(rng.random_range(0..START_WINDOW.0)), index));
         let mut starts: Vec<(Timestamp, usize)> = starts.collect();
         starts.sort_unstable();
         for (at, index) in starts {
@@ -236,31 +245,31 @@
         }
     }
 
-    /// Lets all meet, and a little more; how long it took.
+    /// Runs until all members know each other, and three lease terms more. Returns the time until they did.
     fn settle(&mut self) -> Duration {
         let base = self.now();
         loop {
-            let next = self.now() + LOOK;
+            let next = self.now() + SETTLE_POLL_INTERVAL;
             self.network.run_until(next);
-            let all = self.network.processes().all(|(_, member)| member.knew_all.is_some());
-            if all || next - base >= SETTLES {
+            let all = self.network.processes().all(|(_, member)| member.knew_all_at.is_some());
+            if all || next - base >= SETTLE_TIMEOUT {
                 break;
             }
         }
         let took = self.now() - base;
-        let calm = self.now() + Duration(TERM.0 * 3);
-        self.network.run_until(calm);
+        let end = self.now() + Duration(LEASE_TERM.0 * 3);
+        self.network.run_until(end);
         took
     }
 
-    fn moment(&self) -> Moment {
-        let each = |(at, member): (SocketAddr, &Member)| (at, self.network.traffic(at), member.spent);
-        Moment::of(self.network.processes().map(each))
+    fn snapshot(&self) -> Snapshot {
+        let each = |(at, member): (SocketAddr, &Member)| (at, self.network.traffic(at), member.busy_time);
+        Snapshot::new(self.network.processes().map(each))
     }
 
-    /// Plays the measured seconds, with faults and news; when each piece of news was told, by the worker that it is of.
+    /// Runs the measured seconds with faults and gossip updates. Returns when the update of each worker was published.
     fn measure(&mut self) -> BTreeMap<u64, Timestamp> {
-        let (base, mut told) = (self.now(), BTreeMap::new());
+        let (base, mut published_at) = (self.now(), BTreeMap::new());
         let end = base + Duration::millis(self.plan.seconds * 1_000);
         let step = (self.plan.changes > 0.0).then(|| Duration((1e9 / self.plan.changes) as u64));
         let mut next = step.map(|step| base + Duration(step.0 / 2));
@@ -268,67 +277,62 @@
         while self.now() < end {
             let until = next.into_iter().chain(faults.due()).chain([end]).min().unwrap_or(end).min(end);
             self.network.run_until(until);
-            faults.happen(self, self.plan.members());
+            faults.apply_due(self, self.plan.members());
             if next.is_some_and(|at| at <= until) {
-                self.tell(told.len() as u64 + 1, &mut told);
+                self.publish_update(published_at.len() as u64 + 1, &mut published_at);
                 next = step.map(|step| until + step);
             }
         }
-        faults.heal(self);
-        told
+        faults.end_all(self);
+        published_at
     }
 
-    /// One member has news of a worker.
-    fn tell(&mut self, worker: u64, told: &mut BTreeMap<u64, Timestamp>) {
-        told.insert(worker, self.now());
-        self.network.with_process(place(worker as usize % self.plan.members()), |member, now| {
+    /// Publishes a gossip update about a worker at one member.
+    fn publish_update(&mut self, worker: u64, published_at: &mut BTreeMap<u64, Timestamp>) {
+        published_at.insert(worker, self.now());
+        self.network.with_process(address_of(worker as usize % self.plan.members()), |member, now| {
             member.handle(now, FleetInput::Observed(GossipTopic::Worker(worker), GossipUpdate::Answers(true)))
         });
     }
 
-    fn rows(&self, costs: &[Cost], told: &BTreeMap<u64, Timestamp>, memory: f64) -> Vec<Row> {
+    fn rows(&self, costs: &[Cost], published_at: &BTreeMap<u64, Timestamp>, memory: f64) -> Vec<Row> {
         let plan = self.plan;
         let mut rows = Rows::new(plan, "hollow", Setup::Members);
-        let like = rows.like();
+        let like = rows.template();
         (like.hollow, like.changes_per_second, like.faults_per_second) =
             (plan.members(), plan.changes, plan.faults);
-        let (file_bytes, file_seconds) = whole_file(plan);
-        let (file, reading) = (plan.changes * file_bytes, plan.changes * file_seconds * 100.0);
+        let (file_bytes, file_seconds) = configuration_file_cost(plan);
+        let (file, read_cpu_percent) = (plan.changes * file_bytes, plan.changes * file_seconds * 100.0);
         for role in ["scheduler", "elector"] {
-            let of_role = |at: SocketAddr| (index_of(at) < ELECTORS) == (role == "elector");
+            let of_role = |at: SocketAddr| (index_of(at) < ELECTOR_COUNT) == (role == "elector");
             let of: Vec<Cost> = costs.iter().filter(|cost| of_role(cost.at)).copied().collect();
             let with_file = |cost: &Cost| Cost {
                 bytes: cost.bytes + file,
-                cpu_percent: cost.cpu_percent + reading,
+                cpu_percent: cost.cpu_percent + read_cpu_percent,
                 ..*cost
             };
             costs::add(&mut rows, role, &of.iter().map(with_file).collect::<Vec<_>>());
-            rows.add(
-                role,
-                "fleet_bytes_per_second",
-                "B/s",
-                mean_and_most(of.iter().map(|cost| cost.bytes)).0,
-            );
-            let cpu = mean_and_most(of.iter().map(|cost| cost.cpu_percent)).0;
+            rows.add(role, "fleet_bytes_per_second", "B/s", mean_and_max(of.iter().map(|cost| cost.bytes)).0);
+            let cpu = mean_and_max(of.iter().map(|cost| cost.cpu_percent)).0;
             rows.add(role, "fleet_cpu_percent_of_core", "%", cpu);
             rows.add(role, "configuration_bytes_per_second", "B/s", file);
-            rows.add(role, "configuration_cpu_percent_of_core", "%", reading);
+            rows.add(role, "configuration_cpu_percent_of_core", "%", read_cpu_percent);
             rows.add(role, "resident_mb", "MB", memory / 1e6);
             let members = self.network.processes().filter(|(at, _)| of_role(*at)).map(|(_, member)| member);
-            let starts = members.filter_map(|member| Some((member.knew_all? - member.started).secs()));
-            rows.add(role, "start_seconds", "s", mean_and_most(starts).0);
+            let starts = members.filter_map(|member| Some((member.knew_all_at? - member.started).secs()));
+            rows.add(role, "start_seconds", "s", mean_and_max(starts).0);
         }
         rows.add("scheduler", "configuration_bytes", "B", file_bytes);
         rows.add("scheduler", "configuration_seconds", "s", file_seconds);
-        let heard = self.network.processes().flat_map(|(_, member)| member.news.iter());
-        let reached = heard.filter_map(|(worker, at)| Some((*at - *told.get(worker)?).secs()));
+        let received = self.network.processes().flat_map(|(_, member)| member.updates.iter());
+        let reached = received.filter_map(|(worker, at)| Some((*at - *published_at.get(worker)?).secs()));
         rows.add_seconds("scheduler", "gossip_seconds_to_all", &mut reached.collect::<Vec<_>>());
         rows.rows
     }
 }
 
-/// What one change costs by today's way: the bytes of the file, and the seconds in which it is read and taken in.
-fn whole_file(plan: &Plan) -> (f64, f64) {
+/// The cost of one change by a complete file: its bytes, and the seconds to read and apply it.
+fn configuration_file_cost(plan: &Plan) -> (f64, f64) {
     let mut configuration = Configuration::new(plan.workers, SocketAddr::from((Ipv4Addr::LOCALHOST, 9)));
     let text = configuration.text();
     let Ok(read) = config::read(&text) else { return (text.len() as f64, 0.0) };
@@ -337,13 +341,13 @@
         .map(|n| {
             configuration.change();
             let text = configuration.text();
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let read = config::read(&text);
             for news in read.into_iter().flat_map(|read| read.known_events) {
                 let members = news.entries.iter().map(|entry| entry.member).collect();
                 core.members(Timestamp(n * 1_000_000_000), ListKind::Full, members);
             }
-            begun.elapsed().as_secs_f64()
+            started_at.elapsed().as_secs_f64()
         })
         .collect();
     times.sort_by(f64::total_cmp);
--- a/lab/src/scale/real.rs
+++ b/lab/src/scale/real.rs
@@ -1,9 +1,9 @@
-//! Real schedulers, each on its own: the list comes as a whole file, which is read anew on SIGHUP.
+//! Standalone real schedulers: the list is part of a complete configuration file, which is reloaded on SIGHUP.
 
 use super::configuration::Configuration;
 use super::daemon::{self, Client, Daemon};
 use super::plan::CALLED_SCHEDULERS;
-use super::report::{mean_and_most, quantile};
+use super::report::{mean_and_max, quantile};
 use super::{Plan, Row, Rows, Setup};
 use crate::stand_ins::{Folder, Worker, echo};
 use std::path::PathBuf;
@@ -11,14 +11,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time after a start until all that belongs to it has passed.
-const CALM: Duration = Duration::from_secs(2);
-/// Reloads of one scheduler during which the others rest.
-const LONE_RELOADS: usize = 5;
-/// Between two questions of the client that looks for standstills.
-const PAUSE: Duration = Duration::from_millis(1);
+/// Time after a start until its activity has ended.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Reloads of one scheduler while the others are idle.
+const SINGLE_RELOADS: usize = 5;
+/// Interval of the readiness requests that detect stalls.
+const READY_REQUEST_INTERVAL: Duration = Duration::from_millis(1);
 
-struct Play<'a> {
+struct Run<'a> {
     plan: &'a Plan,
     folder: Folder,
     configuration: Configuration,
@@ -26,59 +26,60 @@
     rows: Rows,
 }
 
-/// Plays them.
-pub fn play(plan: &Plan) -> Result<Vec<Row>, String> {
+/// Runs the measurements of standalone schedulers.
+pub fn run(plan: &Plan) -> Result<Vec<Row>, String> {
     let worker = Worker::over_tcp();
     let configuration = Configuration::new(plan.workers, worker.address());
     worker.serve(echo);
     let rows = Rows::new(plan, "real", Setup::Alone);
-    let mut play = Play { plan, folder: Folder::new(), configuration, daemons: vec![], rows };
-    play.start()?;
-    play.idle()?;
-    play.standstill()?;
+    let mut run = Run { plan, folder: Folder::new(), configuration, daemons: vec![], rows };
+    run.start()?;
+    run.measure_idle()?;
+    run.measure_stall()?;
     if plan.changes > 0.0 {
-        play.changes()?;
+        run.measure_changes()?;
     }
     if plan.functions > 0 {
-        play.functions()?;
+        run.measure_functions()?;
     }
-    Ok(play.rows.rows)
+    Ok(run.rows.rows)
 }
 
-impl Play<'_> {
-    fn config(&self) -> PathBuf {
+impl Run<'_> {
+    fn config_path(&self) -> PathBuf {
         self.folder.at("config.json")
     }
 
-    /// Puts the configuration where schedulers read it, whole at any moment; its size.
-    fn put(&self) -> Result<usize, String> {
-        let (text, draft) = (self.configuration.text(), self.folder.at("config.draft"));
-        let put = std::fs::write(&draft, &text).and_then(|()| std::fs::rename(&draft, self.config()));
+    /// Atomically replaces the configuration file that schedulers read, and returns its size.
+    fn write_config(&self) -> Result<usize, String> {
+        let (text, temporary) = (self.configuration.text(), self.folder.at("config.draft"));
+        let put =
+            std::fs::write(&temporary, &text).and_then(|()| std::fs::rename(&temporary, self.config_path()));
         put.map(|()| text.len()).map_err(|e| format!("cannot write a configuration: {e}"))
     }
 
     fn start(&mut self) -> Result<(), String> {
-        let bytes = self.put()?;
+        let bytes = self.write_config()?;
         let operator = self.folder.at("operator.toml");
         std::fs::write(&operator, "").map_err(|e| format!("cannot write an operator's file: {e}"))?;
-        // One after the other, so that each has its processor to itself.
+        // In sequence, so that each start has a processor to itself.
         for _ in 0..self.plan.real {
-            self.daemons.push(Daemon::start(self.plan, &self.folder, &self.config(), &operator)?);
+            self.daemons.push(Daemon::start(self.plan, &self.folder, &self.config_path(), &operator)?);
         }
         eprintln!("scale: {} real schedulers serve", self.daemons.len());
-        thread::sleep(CALM);
-        let starts = mean_and_most(self.daemons.iter().map(|daemon| daemon.start.as_secs_f64()));
-        let processor = mean_and_most(self.daemons.iter().map(|daemon| daemon.start_processor.as_secs_f64()));
+        thread::sleep(SETTLE_TIME);
+        let starts = mean_and_max(self.daemons.iter().map(|daemon| daemon.start.as_secs_f64()));
+        let cpu = mean_and_max(self.daemons.iter().map(|daemon| daemon.start_cpu.as_secs_f64()));
         self.rows.add("scheduler", "start_seconds", "s", starts.0);
         self.rows.add("scheduler", "start_seconds_max", "s", starts.1);
-        self.rows.add("scheduler", "start_cpu_seconds", "s", processor.0);
+        self.rows.add("scheduler", "start_cpu_seconds", "s", cpu.0);
         self.rows.add("scheduler", "configuration_bytes", "B", bytes as f64);
         Ok(())
     }
 
-    fn idle(&mut self) -> Result<(), String> {
+    fn measure_idle(&mut self) -> Result<(), String> {
         let length = Duration::from_secs(self.plan.seconds);
-        let percent = daemon::processor_percent(&self.daemons, || {
+        let percent = daemon::cpu_percent_during(&self.daemons, || {
             thread::sleep(length);
             Ok(())
         })?;
@@ -87,11 +88,11 @@
         Ok(())
     }
 
-    /// Costs of control while nothing is called.
+    /// Adds the resource usage while no function is called.
     fn add_costs(&mut self, (bytes, most_bytes, messages): (f64, f64, f64), percent: Vec<f64>) {
-        let (cpu, most_cpu) = mean_and_most(percent);
-        let (resident, most) = mean_and_most(self.daemons.iter().map(Daemon::resident_mb));
-        let (peak, _) = mean_and_most(self.daemons.iter().map(Daemon::most_resident_mb));
+        let (cpu, most_cpu) = mean_and_max(percent);
+        let (resident, max) = mean_and_max(self.daemons.iter().map(Daemon::resident_mb));
+        let (peak, _) = mean_and_max(self.daemons.iter().map(Daemon::peak_resident_mb));
         let rows = &mut self.rows;
         rows.add("scheduler", "control_bytes_per_second", "B/s", bytes);
         rows.add("scheduler", "control_bytes_per_second_max", "B/s", most_bytes);
@@ -99,31 +100,31 @@
         rows.add("scheduler", "cpu_percent_of_core", "%", cpu);
         rows.add("scheduler", "cpu_percent_of_core_max", "%", most_cpu);
         rows.add("scheduler", "resident_mb", "MB", resident);
-        rows.add("scheduler", "resident_mb_max", "MB", most);
+        rows.add("scheduler", "resident_mb_max", "MB", max);
         rows.add("scheduler", "resident_mb_peak", "MB", peak);
     }
 
-    /// One scheduler is reloaded alone, while a client looks how long its serving thread stands still.
-    fn standstill(&mut self) -> Result<(), String> {
+    /// Reloads one scheduler alone, while a client measures how long its serving thread stalls.
+    fn measure_stall(&mut self) -> Result<(), String> {
         let at = self.daemons[0].listen;
-        let quiet = longest_round_trip(at, || {
-            thread::sleep(CALM);
+        let idle_longest = longest_round_trip(at, || {
+            thread::sleep(SETTLE_TIME);
             Ok(())
         })?;
-        self.rows.add("scheduler", "standstill_idle_ms", "ms", quiet.as_secs_f64() * 1e3);
+        self.rows.add("scheduler", "standstill_idle_ms", "ms", idle_longest.as_secs_f64() * 1e3);
         if self.plan.changes <= 0.0 {
             return Ok(());
         }
         let mut times = vec![];
-        for _ in 0..LONE_RELOADS {
+        for _ in 0..SINGLE_RELOADS {
             self.configuration.change();
-            self.put()?;
+            self.write_config()?;
             let daemon = &self.daemons[..1];
             let longest = longest_round_trip(at, || {
                 daemon::reload(daemon)?;
-                daemon[0].wait("reloaded")?;
-                // What was asked during the reload is answered after it.
-                thread::sleep(PAUSE * 20);
+                daemon[0].wait_for_line("reloaded")?;
+                // A request sent during the reload is answered after it.
+                thread::sleep(READY_REQUEST_INTERVAL * 20);
                 Ok(())
             })?;
             times.push(longest.as_secs_f64() * 1e3);
@@ -134,42 +135,42 @@
         Ok(())
     }
 
-    /// Changes come at the plan's rate, or as fast as all have taken in the one before.
-    fn changes(&mut self) -> Result<(), String> {
-        let (begun, step) = (Instant::now(), Duration::from_secs_f64(1.0 / self.plan.changes));
+    /// Applies changes at the plan's rate, or as fast as all schedulers have applied the previous one.
+    fn measure_changes(&mut self) -> Result<(), String> {
+        let (started_at, step) = (Instant::now(), Duration::from_secs_f64(1.0 / self.plan.changes));
         let length = Duration::from_secs(self.plan.seconds).max(step);
         let (mut done, mut bytes, mut seconds) = (0u32, 0, vec![]);
         let daemons = std::mem::take(&mut self.daemons);
-        let percent = daemon::processor_percent(&daemons, || {
-            while begun.elapsed() < length {
+        let percent = daemon::cpu_percent_during(&daemons, || {
+            while started_at.elapsed() < length {
                 self.configuration.change();
-                bytes += self.put()?;
+                bytes += self.write_config()?;
                 let put = Instant::now();
                 daemon::reload(&daemons)?;
                 for daemon in &daemons {
-                    let (at, _) = daemon.wait("reloaded")?;
+                    let (at, _) = daemon.wait_for_line("reloaded")?;
                     seconds.push(at.saturating_duration_since(put).as_secs_f64());
                 }
                 done += 1;
-                thread::sleep((step * done).min(length).saturating_sub(begun.elapsed()));
+                thread::sleep((step * done).min(length).saturating_sub(started_at.elapsed()));
             }
             Ok(())
         });
         self.daemons = daemons;
-        let elapsed = begun.elapsed().as_secs_f64();
+        let elapsed = started_at.elapsed().as_secs_f64();
         let (bytes, rate) = (bytes as f64 / elapsed, (f64::from(done) / elapsed * 1e3).round() / 1e3);
-        self.rows.like().changes_per_second = rate;
+        self.rows.template().changes_per_second = rate;
         self.add_costs((bytes, bytes, rate), percent?);
         self.rows.add_seconds("scheduler", "seconds_to_all", &mut seconds);
-        self.rows.like().changes_per_second = 0.0;
+        self.rows.template().changes_per_second = 0.0;
         Ok(())
     }
 
-    /// Functions are called once each, and once more, at a few schedulers.
-    fn functions(&mut self) -> Result<(), String> {
+    /// Calls each function twice at a few schedulers.
+    fn measure_functions(&mut self) -> Result<(), String> {
         let called = &self.daemons[self.daemons.len().saturating_sub(CALLED_SCHEDULERS)..];
         let count = self.plan.functions;
-        let (mut kept, mut first, mut further) = (vec![], vec![], vec![]);
+        let (mut bytes_per_function, mut first, mut further) = (vec![], vec![], vec![]);
         for daemon in called {
             let before = daemon.resident_mb();
             let mut client = Client::connect(daemon.listen)?;
@@ -180,44 +181,45 @@
                     );
                 }
             }
-            kept.push((daemon.resident_mb() - before) * 1e6 / count as f64);
+            bytes_per_function.push((daemon.resident_mb() - before) * 1e6 / count as f64);
         }
-        let (resident, _) = mean_and_most(called.iter().map(Daemon::resident_mb));
+        let (resident, _) = mean_and_max(called.iter().map(Daemon::resident_mb));
         first.sort_by(f64::total_cmp);
         further.sort_by(f64::total_cmp);
         let rows = &mut self.rows;
-        rows.like().functions = count;
+        rows.template().functions = count;
         rows.add("scheduler", "resident_mb", "MB", resident);
-        rows.add("scheduler", "kept_bytes_per_function", "B", mean_and_most(kept).0);
+        rows.add("scheduler", "kept_bytes_per_function", "B", mean_and_max(bytes_per_function).0);
         for (name, times) in [("first_call_round_trip_ms", first), ("further_call_round_trip_ms", further)] {
             rows.add("scheduler", name, "ms", quantile(&times, 0.5).unwrap_or(0.0));
             rows.add("scheduler", &format!("{name}_p99"), "ms", quantile(&times, 0.99).unwrap_or(0.0));
         }
-        rows.like().functions = 0;
+        rows.template().functions = 0;
         Ok(())
     }
 }
 
-/// The longest that a scheduler took to answer a client while something happened.
+/// The longest round trip of readiness requests while `during` runs.
 pub fn longest_round_trip(
     at: std::net::SocketAddr,
     during: impl FnOnce() -> Result<(), String>,
 ) -> Result<Duration, String> {
-    let over = AtomicBool::new(false);
+    let done = AtomicBool::new(false);
     thread::scope(|scope| {
         let client = scope.spawn(|| {
             let (mut client, mut longest) = (Client::connect(at)?, Duration::ZERO);
-            while !over.load(Ordering::Relaxed) {
-                longest = longest.max(client.ask_ready()?);
-                thread::sleep(PAUSE);
+            while !done.load(Ordering::Relaxed) {
+                longest = longest.max(client.ready_round_trip()?);
+                thread::sleep(READY_REQUEST_INTERVAL);
             }
             Ok(longest)
         });
-        // It has connected and asks.
-        thread::sleep(PAUSE * 20);
-        let done = during();
-        over.store(true, Ordering::Relaxed);
-        let longest = client.join().unwrap_or_else(|_| Err("the client that asks has failed".to_owned()));
-        done.and(longest)
+        // By then it has connected and sends requests.
+        thread::sleep(READY_REQUEST_INTERVAL * 20);
+        let result = during();
+        done.store(true, Ordering::Relaxed);
+        let longest =
+            client.join().unwrap_or_else(|_| Err("the client for readiness requests has failed".to_owned()));
+        result.and(longest)
     })
 }
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! Rows of figures: collected, printed, and written as JSON, whole or not at all.
+//! Rows of figures: collected, printed as a table, and written atomically as JSON.
 
 use super::{Fit, Plan, Setup};
 use serde::{Deserialize, Serialize};
@@ -8,51 +8,51 @@
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
 
-/// One figure.
+/// One measured figure with the sizes of its run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Of which processes.
+    /// Role of the measured processes.
     pub role: String,
     /// What was measured.
     pub quantity: String,
-    /// In what.
+    /// Unit of the value.
     pub unit: String,
-    /// How much.
+    /// The value.
     pub value: f64,
-    /// Hollow schedulers of the run; in a row of theirs as many as were played.
+    /// Hollow schedulers of the run; in rows of hollow schedulers the number that ran.
     pub hollow: usize,
     /// Real schedulers of the run.
     pub real: usize,
     /// Workers on the list.
     pub workers: usize,
-    /// Functions that were called.
+    /// Number of functions called.
     pub functions: usize,
-    /// `hollow` for machines in virtual time, `real` for what the operating system or a client measured.
+    /// `hollow` for state machines in virtual time, `real` for figures of the operating system or a client.
     pub measured: String,
     /// How schedulers were set up.
     pub setup: String,
     /// Regions.
     pub regions: usize,
-    /// Changes a second while it was measured.
+    /// Changes per second during the measurement.
     pub changes_per_second: f64,
-    /// Faults a second while it was measured.
+    /// Faults per second during the measurement.
     pub faults_per_second: f64,
-    /// For how long it was measured.
+    /// Duration of the measurement.
     pub seconds: u64,
 }
 
-/// Rows of one part.
+/// Rows of one part of a run.
 pub struct Rows {
-    like: Row,
-    /// Those there are.
+    template: Row,
+    /// The rows added so far.
     pub rows: Vec<Row>,
 }
 
 impl Rows {
-    /// No rows yet, of a part that is played as the plan says.
+    /// Creates an empty collection for a part of this plan.
     pub fn new(plan: &Plan, measured: &str, setup: Setup) -> Rows {
         Rows {
-            like: Row {
+            template: Row {
                 role: "scheduler".to_owned(),
                 quantity: String::new(),
                 unit: String::new(),
@@ -72,18 +72,18 @@
         }
     }
 
-    /// What the next rows have in common.
-    pub fn like(&mut self) -> &mut Row {
-        &mut self.like
+    /// The values that the next rows have in common.
+    pub fn template(&mut self) -> &mut Row {
+        &mut self.template
     }
 
-    /// One more.
+    /// Adds a row.
     pub fn add(&mut self, role: &str, quantity: &str, unit: &str, value: f64) {
         let (role, quantity, unit) = (role.to_owned(), quantity.to_owned(), unit.to_owned());
-        self.rows.push(Row { role, quantity, unit, value, ..self.like.clone() });
+        self.rows.push(Row { role, quantity, unit, value, ..self.template.clone() });
     }
 
-    /// Median, 99th percentile and last of the seconds until something had reached all; nothing where there are none.
+    /// Adds median, 99th percentile and maximum of durations in seconds; adds nothing if there are none.
     pub fn add_seconds(&mut self, role: &str, quantity: &str, seconds: &mut [f64]) {
         seconds.sort_by(f64::total_cmp);
         for (name, part) in [("median", 0.5), ("p99", 0.99), ("last", 1.0)] {
@@ -94,90 +94,90 @@
     }
 }
 
-/// The value below which this part of all sorted ones lies.
+/// The quantile of sorted values; `None` if there are none.
 pub fn quantile(sorted: &[f64], part: f64) -> Option<f64> {
-    let last = sorted.len().checked_sub(1)?;
-    sorted.get(((sorted.len() as f64 * part).ceil() as usize).saturating_sub(1).min(last)).copied()
+    let last_index = sorted.len().checked_sub(1)?;
+    sorted.get(((sorted.len() as f64 * part).ceil() as usize).saturating_sub(1).min(last_index)).copied()
 }
 
-/// The mean, and the most.
-pub fn mean_and_most(values: impl IntoIterator<Item = f64>) -> (f64, f64) {
-    let (mut sum, mut most, mut count) = (0.0, 0.0f64, 0.0f64);
+/// The mean and the maximum.
+pub fn mean_and_max(values: impl IntoIterator<Item = f64>) -> (f64, f64) {
+    let (mut sum, mut max, mut count) = (0.0, 0.0f64, 0.0f64);
     for value in values {
-        (sum, most, count) = (sum + value, most.max(value), count + 1.0);
+        (sum, max, count) = (sum + value, max.max(value), count + 1.0);
     }
-    (sum / count.max(1.0), most)
+    (sum / count.max(1.0), max)
 }
 
-/// What stands beside the rows.
-pub struct About {
-    /// What was called.
+/// Metadata of a run, written beside its rows.
+pub struct RunInfo {
+    /// The command line.
     pub command: String,
-    /// Of what version, as was told.
+    /// The version under test, as given by the caller.
     pub version: String,
     /// The seed.
     pub seed: u64,
-    /// The series, if one was played.
+    /// The series, if one was run.
     pub series: Option<String>,
-    /// What real schedulers ran.
+    /// The program of the real schedulers.
     pub program: String,
     /// Processors of the machine.
     pub cores: usize,
-    /// Processes that wanted one on average over the last minute, before the run and after it.
+    /// Load average of the last minute, before and after the run.
     pub load: (f64, f64),
 }
 
-/// A file that is written whole, or not at all.
-pub struct Target {
+/// A file that is replaced atomically.
+pub struct OutputFile {
     path: PathBuf,
-    /// Beside it, until all is written.
-    draft: PathBuf,
+    /// Temporary file beside it, renamed once complete.
+    temporary: PathBuf,
     file: File,
 }
 
-impl Target {
-    /// A target that can be written: its draft is there already.
-    pub fn new(path: &Path) -> Result<Target, String> {
-        let cannot = |why: &dyn std::fmt::Display| format!("cannot write {}: {why}", path.display());
+impl OutputFile {
+    /// Opens the temporary file, so that an unwritable target is detected before the run.
+    pub fn new(path: &Path) -> Result<OutputFile, String> {
+        let error = |why: &dyn std::fmt::Display| format!("cannot write {}: {why}", path.display());
         if path.is_dir() {
-            return Err(cannot(&"it is a folder"));
+            return Err(error(&"it is a directory"));
         }
-        let name = path.file_name().ok_or_else(|| cannot(&"it names no file"))?.to_string_lossy();
-        let draft = path.with_file_name(format!(".{name}.{}", std::process::id()));
-        let file = File::create(&draft).map_err(|e| cannot(&e))?;
-        Ok(Target { path: path.to_owned(), draft, file })
+        let name = path.file_name().ok_or_else(|| error(&"it names no file"))?.to_string_lossy();
+        let temporary = path.with_file_name(format!(".{name}.{}", std::process::id()));
+        let file = File::create(&temporary).map_err(|e| error(&e))?;
+        Ok(OutputFile { path: path.to_owned(), temporary, file })
     }
 
-    /// Writes all, and puts it in place.
-    pub fn write(mut self, about: &About, rows: &[Row], fits: &[Fit]) -> Result<(), String> {
-        let mut whole = json!({"command": about.command, "version": about.version, "seed": about.seed,
-            "program": about.program, "cores": about.cores,
-            "load_before": about.load.0, "load_after": about.load.1});
-        if let Some(series) = &about.series {
-            whole["series"] = json!(series);
-            whole["fits"] = json!(fits);
+    /// Writes the report and moves it into place.
+    pub fn write(mut self, info: &RunInfo, rows: &[Row], fits: &[Fit]) -> Result<(), String> {
+        let mut head_fields = json!({"command": info.command, "version": info.version, "seed": info.seed,
+            "program": info.program, "cores": info.cores,
+            "load_before": info.load.0, "load_after": info.load.1});
+        if let Some(series) = &info.series {
+            head_fields["series"] = json!(series);
+            head_fields["fits"] = json!(fits);
         }
-        let head = serde_json::to_string(&whole).map_err(|e| e.to_string())?;
-        // A row a line, so that two runs can be compared line by line.
+        let head = serde_json::to_string(&head_fields).map_err(|e| e.to_string())?;
+        // One row per line, so that two runs can be compared line by line.
         let lines: Result<Vec<String>, _> = rows.iter().map(serde_json::to_string).collect();
         let lines = lines.map_err(|e| e.to_string())?.join(",\n");
         let text = format!("{},\"rows\":[\n{lines}\n]}}\n", head.trim_end_matches('}'));
-        // The head ends with one bracket of its own.
+        // The closing bracket of the head is replaced by the one after the rows.
         debug_assert!(serde_json::from_str::<serde_json::Value>(&text).is_ok());
         let done = self.file.write_all(text.as_bytes()).and_then(|()| self.file.sync_all());
-        let done = done.and_then(|()| std::fs::rename(&self.draft, &self.path));
+        let done = done.and_then(|()| std::fs::rename(&self.temporary, &self.path));
         done.map_err(|e| format!("cannot write {}: {e}", self.path.display()))
     }
 }
 
-impl Drop for Target {
+impl Drop for OutputFile {
     fn drop(&mut self) {
-        // It is gone where all went well.
-        let _ = std::fs::remove_file(&self.draft);
+        // After a successful write it no longer exists.
+        let _ = std::fs::remove_file(&self.temporary);
     }
 }
 
-/// All rows, one a line.
+/// A table with one line for each row.
 pub fn table(rows: &[(f64, Row)]) -> String {
     let mut out = String::new();
     let _ = writeln!(
--- a/lab/src/scale/tap.rs
+++ b/lab/src/scale/tap.rs
@@ -1,4 +1,4 @@
-//! A tap between a real process and one of its parents: it passes datagrams on and counts them.
+//! A UDP proxy between a real process and one of its parents, which forwards datagrams and counts them.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -7,20 +7,20 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a tap that hears nothing looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(200);
-/// The largest datagram that there can be.
-const LARGEST: usize = 65_536;
+/// How often an idle proxy checks whether it is to end.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Upper bound of the size of a UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Datagrams and their bytes, of one process with all its parents.
+/// Datagrams and bytes between one process and all its parents.
 #[derive(Default)]
-pub struct Count {
+pub struct TrafficCount {
     bytes: AtomicU64,
     messages: AtomicU64,
 }
 
-impl Count {
-    /// Bytes and datagrams so far, in both directions.
+impl TrafficCount {
+    /// Bytes and datagrams counted so far, in both directions.
     pub fn read(&self) -> (u64, u64) {
         (self.bytes.load(Ordering::Relaxed), self.messages.load(Ordering::Relaxed))
     }
@@ -31,54 +31,56 @@
     }
 }
 
-/// See the module's page. It ends with this.
-pub struct Tap {
-    /// What the process is told that its parent is at.
+/// A running proxy. It ends when this is dropped.
+pub struct CountingProxy {
+    /// The address that the process is configured with as its parent's.
     pub at: SocketAddr,
-    over: Arc<AtomicBool>,
+    ended: Arc<AtomicBool>,
 }
 
-impl Tap {
-    /// A tap on the way to this parent, with its two sockets on an address of its own.
-    pub fn new(own: &str, parent: SocketAddr, count: &Arc<Count>) -> io::Result<Tap> {
-        let (near, far) = (UdpSocket::bind((own, 0))?, UdpSocket::bind((own, 0))?);
-        let (at, over) = (near.local_addr()?, Arc::new(AtomicBool::new(false)));
-        // The child is where its datagrams come from.
+impl CountingProxy {
+    /// Starts a proxy to this parent, with its two sockets on the address `own`.
+    pub fn new(own: &str, parent: SocketAddr, count: &Arc<TrafficCount>) -> io::Result<CountingProxy> {
+        let (child_socket, parent_socket) = (UdpSocket::bind((own, 0))?, UdpSocket::bind((own, 0))?);
+        let (at, ended) = (child_socket.local_addr()?, Arc::new(AtomicBool::new(false)));
+        // The child's address is learned from the datagrams that it sends.
         let child = Arc::new(Mutex::new(None));
         let from_child = child.clone();
-        pass(&near, &far, &over, count, move |from| {
+        forward(&child_socket, &parent_socket, &ended, count, move |from| {
             *from_child.lock().unwrap_or_else(PoisonError::into_inner) = Some(from);
             Some(parent)
         })?;
-        pass(&far, &near, &over, count, move |_| *child.lock().unwrap_or_else(PoisonError::into_inner))?;
-        Ok(Tap { at, over })
+        forward(&parent_socket, &child_socket, &ended, count, move |_| {
+            *child.lock().unwrap_or_else(PoisonError::into_inner)
+        })?;
+        Ok(CountingProxy { at, ended })
     }
 }
 
-impl Drop for Tap {
+impl Drop for CountingProxy {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.ended.store(true, Ordering::Relaxed);
     }
 }
 
-fn pass(
+fn forward(
     from: &UdpSocket,
     to: &UdpSocket,
-    over: &Arc<AtomicBool>,
-    count: &Arc<Count>,
-    whom: impl Fn(SocketAddr) -> Option<SocketAddr> + Send + 'static,
+    ended: &Arc<AtomicBool>,
+    count: &Arc<TrafficCount>,
+    destination: impl Fn(SocketAddr) -> Option<SocketAddr> + Send + 'static,
 ) -> io::Result<()> {
     let (from, to) = (from.try_clone()?, to.try_clone()?);
-    let (over, count) = (over.clone(), count.clone());
-    from.set_read_timeout(Some(LOOK))?;
+    let (ended, count) = (ended.clone(), count.clone());
+    from.set_read_timeout(Some(SHUTDOWN_POLL_INTERVAL))?;
     thread::spawn(move || {
-        let mut bytes = vec![0; LARGEST];
-        while !over.load(Ordering::Relaxed) {
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
+        while !ended.load(Ordering::Relaxed) {
             let Ok((size, sender)) = from.recv_from(&mut bytes) else { continue };
-            if let Some(whom) = whom(sender) {
+            if let Some(destination) = destination(sender) {
                 count.add(size);
-                // One that is lost here is lost as on any link.
-                let _ = to.send_to(&bytes[..size], whom);
+                // A datagram lost here is like one lost on any link.
+                let _ = to.send_to(&bytes[..size], destination);
             }
         }
     });
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Scale runs: what they are told, what they write, and that one seed gives the same figures. Sizes are small, and no
-//! figure is judged.
+//! Scale runs: their options, the files that they write, and that a seed determines the figures. Sizes are small, and no
+//! figure is checked against a limit.
 
 #![allow(
     clippy::unwrap_used,
@@ -26,14 +26,14 @@
 fn error_of(arguments: &[&str]) -> String {
     let output = scale(arguments);
     let error = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success(), "{arguments:?} went well");
-    assert!(!error.contains("point 1"), "something was played: {error}");
+    assert!(!output.status.success(), "{arguments:?} succeeded");
+    assert!(!error.contains("point 1"), "a part has run: {error}");
     error
 }
 
 fn rows(path: &Path) -> Vec<Value> {
-    let whole: Value = serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap();
-    whole["rows"].as_array().unwrap().clone()
+    let report: Value = serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap();
+    report["rows"].as_array().unwrap().clone()
 }
 
 fn files(folder: &Folder) -> Vec<String> {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_prepared_series_are_listed() {
+fn list_names_all_prepared_series() {
     let output = scale(&["--list"]);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
@@ -50,10 +50,10 @@
     assert_eq!(names, ["schedulers", "workers", "functions", "changes", "regions"]);
 }
 
-/// Whatever can't be played is said by its option, and nothing is played.
+/// An invalid option is named in the error, and nothing runs.
 #[test]
-fn odd_options_and_sizes_are_refused_before_anything_is_played() {
-    for (arguments, what) in [
+fn invalid_options_and_sizes_are_rejected_before_anything_runs() {
+    for (arguments, expected) in [
         (&["--hollow", "30000"][..], "--hollow 30000 is not between"),
         (&["--real", "1000"], "--real 1000 is not between"),
         (&["--workers", "0"], "--workers 0 is not between"),
@@ -66,18 +66,18 @@
         (&["--hollow", "many"], "invalid value 'many'"),
         (&["--speed", "9"], "unexpected argument '--speed'"),
         (&["--setup", "other"], "invalid value 'other'"),
-        (&["--hollow", "0", "--real", "0", "--functions", "0"], "nothing is to be played"),
+        (&["--hollow", "0", "--real", "0", "--functions", "0"], "nothing to run"),
         (&["--program", "/no/such/program"], "there is no such file"),
         (&["--real", "300", "--workers", "200000"], "half of this machine's memory"),
         (&["tides"], "there is no series 'tides', but schedulers, workers"),
     ] {
         let error = error_of(arguments);
-        assert!(error.contains(what), "{arguments:?}: {error}");
+        assert!(error.contains(expected), "{arguments:?}: {error}");
     }
 }
 
 #[test]
-fn a_file_that_cannot_be_written_is_refused_before_anything_is_played() {
+fn an_unwritable_file_is_rejected_before_anything_runs() {
     let folder = Folder::new();
     let missing = folder.at("missing/rows.json");
     for path in [folder.0.as_path(), missing.as_path(), Path::new("/proc/rows.json"), Path::new("/")] {
@@ -87,26 +87,26 @@
     assert!(files(&folder).is_empty());
 }
 
-/// Where a part fails there is no half a report, and what stood there before stays.
+/// A run that fails writes no partial report and keeps the previous file.
 #[test]
-fn a_run_that_fails_leaves_the_file_as_it_was() {
+fn a_failed_run_leaves_the_file_unchanged() {
     let folder = Folder::new();
     let path = folder.at("rows.json");
     std::fs::write(&path, "before").unwrap();
     let arguments = ["--hollow", "0", "--real", "1", "--functions", "0", "--program", "/bin/false", "--json"];
     let output = scale(&[&arguments[..], &[path.to_str().unwrap()]].concat());
     let error = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success() && error.contains("a scheduler does not say"), "{error}");
+    assert!(!output.status.success() && error.contains("a scheduler did not log"), "{error}");
     assert_eq!(std::fs::read_to_string(&path).unwrap(), "before");
     assert_eq!(files(&folder), ["rows.json"]);
 }
 
-const FIELDS: [&str; 8] = ["role", "quantity", "unit", "value", "hollow", "real", "workers", "functions"];
+const ROW_FIELDS: [&str; 8] = ["role", "quantity", "unit", "value", "hollow", "real", "workers", "functions"];
 
-/// What every row has, and what there is for these roles.
+/// Checks the fields of every row, and that there are rows of these quantities for these roles.
 fn check(rows: &[Value], measured: &str, setup: &str, wanted: &[(&str, &[&str])]) {
     for row in rows {
-        for field in FIELDS {
+        for field in ROW_FIELDS {
             assert!(!row[field].is_null(), "{field} is missing in {row}");
         }
         assert!(row["value"].as_f64().is_some_and(|value| value.is_finite() && value >= 0.0), "{row}");
@@ -125,7 +125,7 @@
     }
 }
 
-const COSTS: [&str; 6] = [
+const COST_QUANTITIES: [&str; 6] = [
     "control_bytes_per_second",
     "control_bytes_per_second_max",
     "messages_per_second",
@@ -133,10 +133,11 @@
     "resident_mb",
     "start_seconds",
 ];
-const REACHED: [&str; 3] = ["seconds_to_all_median", "seconds_to_all_p99", "seconds_to_all_last"];
+const PROPAGATION_QUANTITIES: [&str; 3] =
+    ["seconds_to_all_median", "seconds_to_all_p99", "seconds_to_all_last"];
 
 #[test]
-fn real_schedulers_are_measured_with_and_without_changes() {
+fn standalone_real_schedulers_are_measured() {
     let folder = Folder::new();
     let path = folder.at("rows.json");
     let text = path.to_str().unwrap();
@@ -165,7 +166,7 @@
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(output.status.success(), "{error}");
     let rows = rows(&path);
-    check(&rows, "real", "alone", &[("scheduler", &COSTS), ("scheduler", &REACHED)]);
+    check(&rows, "real", "alone", &[("scheduler", &COST_QUANTITIES), ("scheduler", &PROPAGATION_QUANTITIES)]);
     check(
         &rows,
         "hollow",
@@ -173,22 +174,22 @@
         &[("scheduler", &["first_call_ms", "further_call_us", "kept_bytes_per_function"])],
     );
     assert!(rows.iter().all(|row| row["real"] == 2 && row["hollow"] == 0 && row["workers"] == 40));
-    let whole: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
-    assert_eq!((&whole["version"], &whole["seed"]), (&"v7".into(), &3.into()));
-    assert!(whole["command"].as_str().is_some_and(|command| command.starts_with("scale --setup alone")));
+    let report: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
+    assert_eq!((&report["version"], &report["seed"]), (&"v7".into(), &3.into()));
+    assert!(report["command"].as_str().is_some_and(|command| command.starts_with("scale --setup alone")));
     assert_eq!(files(&folder), ["rows.json"]);
 }
 
-/// What depends on the machine's speed, and on what its memory is used for.
-fn of_machine(row: &Value) -> bool {
+/// Whether a figure depends on the machine's speed or memory, so that it differs between runs.
+fn is_machine_dependent(row: &Value) -> bool {
     let quantity = row["quantity"].as_str().unwrap();
     ["cpu", "resident", "configuration_seconds"].iter().any(|part| quantity.contains(part))
 }
 
-/// Plays one seed twice and another once, in virtual time, and holds the figures against each other; the first one's rows.
+/// Runs one seed twice and another once, in virtual time, and compares the figures. Returns the rows of the first run.
 fn same_seed_same_figures(setup: &str, hollow: &str) -> Vec<Value> {
     let folder = Folder::new();
-    let play = |name: &str, seed: &str| -> Vec<Value> {
+    let run = |name: &str, seed: &str| -> Vec<Value> {
         let path = folder.at(name);
         let output = scale(&[
             "--setup",
@@ -217,9 +218,10 @@
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         rows(&path)
     };
-    let same = |rows: &[Value]| rows.iter().filter(|row| !of_machine(row)).cloned().collect::<Vec<_>>();
-    let first = play("first", "5");
-    let (again, other) = (play("again", "5"), play("other", "6"));
+    let same =
+        |rows: &[Value]| rows.iter().filter(|row| !is_machine_dependent(row)).cloned().collect::<Vec<_>>();
+    let first = run("first", "5");
+    let (again, other) = (run("again", "5"), run("other", "6"));
     assert!(same(&first).len() >= 10);
     assert_eq!(same(&first), same(&again));
     assert_ne!(same(&first), same(&other));
@@ -227,16 +229,16 @@
 }
 
 #[test]
-fn one_seed_gives_the_same_figures_of_members() {
+fn one_seed_gives_the_same_figures_for_members() {
     let rows = same_seed_same_figures("members", "12");
-    check(&rows, "hollow", "members", &[("scheduler", &COSTS), ("elector", &COSTS)]);
+    check(&rows, "hollow", "members", &[("scheduler", &COST_QUANTITIES), ("elector", &COST_QUANTITIES)]);
 }
 
 #[test]
-fn one_seed_gives_the_same_figures_of_a_domain() {
+fn one_seed_gives_the_same_figures_for_a_domain() {
     let rows = same_seed_same_figures("distribution", "30");
     for role in ["scheduler", "relay", "replica"] {
-        check(&rows, "hollow", "distribution", &[(role, &COSTS), (role, &REACHED)]);
+        check(&rows, "hollow", "distribution", &[(role, &COST_QUANTITIES), (role, &PROPAGATION_QUANTITIES)]);
     }
     let missing = rows.iter().filter(|row| row["quantity"].as_str().unwrap().ends_with("_missing"));
     assert!(
@@ -246,7 +248,7 @@
 }
 
 #[test]
-fn a_fit_tells_flat_straight_and_curved_apart() {
+fn a_fit_distinguishes_flat_straight_and_curved_figures() {
     let fit = |values: [f64; 3]| {
         let points: Vec<(f64, f64)> = [500.0, 2_000.0, 6_000.0].into_iter().zip(values).collect();
         fit("x".into(), "s".into(), &points).unwrap()
