--- a/src/daemon/distribution.rs
+++ b/src/daemon/distribution.rs
@@ -72,7 +72,7 @@
     ) -> io::Result<()> {
         let (socket, at) = reactor.bind_datagram_socket(setting.bind)?;
         let now = reactor.now();
-        let seed = super::fleet::draw(config.seed, now.0);
+        let seed = super::fleet::random_u64(config.seed, now.0);
         let role = match setting.role {
             config::Role::Subscriber => Role::Subscriber,
             config::Role::Relay => Role::Relay,
--- a/src/daemon/fleet.rs
+++ b/src/daemon/fleet.rs
@@ -42,22 +42,24 @@
     ) -> io::Result<Member> {
         let (socket, at) = reactor.bind_datagram_socket(setting.bind)?;
         let now = reactor.now();
-        let process = Process { index: config.site.settings.index, incarnation: draw(config.seed, now.0) };
+        let process =
+            Process { index: config.site.settings.index, incarnation: random_u64(config.seed, now.0) };
         let mut electors: Vec<u32> = setting.electors.iter().map(|elector| elector.index).collect();
         electors.sort_unstable();
         let term = Duration::millis(setting.term_ms);
         let longest = Duration::millis(setting.longest_ms.unwrap_or(setting.term_ms));
-        let agreed = electors.iter().map(|index| u64::from(*index));
-        let agreed: Vec<u64> =
-            agreed.chain([setting.term_ms, setting.drift_ppm, u64::from(setting.parts)]).collect();
-        let places = |list: &[config::Elector]| list.iter().map(|one| (one.index, one.at)).collect();
+        let elector_indices = electors.iter().map(|index| u64::from(*index));
+        let agreed_settings: Vec<u64> =
+            elector_indices.chain([setting.term_ms, setting.drift_ppm, u64::from(setting.parts)]).collect();
+        let addresses =
+            |list: &[config::Elector]| list.iter().map(|elector| (elector.index, elector.at)).collect();
         let setting = FleetConfig {
             process,
             generation: now.0,
             address: at,
-            fleet_hash: message::fleet(&setting.name, &agreed),
-            acceptors: places(&setting.electors),
-            address_overrides: places(&setting.via),
+            fleet_hash: message::fleet(&setting.name, &agreed_settings),
+            acceptors: addresses(&setting.electors),
+            address_overrides: addresses(&setting.via),
             delay: Duration::millis(setting.delay_ms),
             size: config.site.settings.fleet_size,
             seed: process.incarnation,
@@ -81,8 +83,8 @@
     }
 }
 
-/// A random number for this start of the process.
-pub(super) fn draw(seed: u64, now: u64) -> u64 {
+/// A random number that differs for each start of the process.
+pub(super) fn random_u64(seed: u64, now: u64) -> u64 {
     use std::hash::{BuildHasher, RandomState};
     RandomState::new().hash_one((seed, now, std::process::id()))
 }
