--- a/lab/src/rig/audit.rs
+++ b/lab/src/rig/audit.rs
@@ -124,20 +124,20 @@
     }
 
     /// Checks an action under a lease. It was read at `now` and had not arrived by `since`.
-    pub fn check_action(&mut self, scheduler: usize, act: LeasedAction, since: Moment, now: Moment) {
+    pub fn check_action(&mut self, scheduler: usize, action: LeasedAction, since: Moment, now: Moment) {
         *self.action_counts.entry(scheduler).or_default() += 1;
-        let fences = self.actions.entry((act.task, act.part)).or_default();
-        let (first, _) = *fences.entry(act.fence).or_insert((scheduler, now));
-        let later = fences.range(act.fence + 1..).find(|(_, (_, at))| *at < since);
+        let fences = self.actions.entry((action.task, action.part)).or_default();
+        let (first, _) = *fences.entry(action.fence).or_insert((scheduler, now));
+        let later = fences.range(action.fence + 1..).find(|(_, (_, at))| *at < since);
         let later = later.map(|(fence, (other, at))| (*fence, *other, *at));
         let ms = |at: Moment| at / 1_000_000;
         if first != scheduler {
-            let what = format!("{act:?} by {first} and by {scheduler}, at {} ms", ms(now));
+            let what = format!("{action:?} by {first} and by {scheduler}, at {} ms", ms(now));
             self.add_violation("two holders of one fence", what);
         }
         if let Some((fence, other, at)) = later {
             let what = format!(
-                "{act:?} by {scheduler} at {} to {} ms, after {other} had acted under {fence} at {} ms",
+                "{action:?} by {scheduler} at {} to {} ms, after {other} had acted under {fence} at {} ms",
                 ms(since),
                 ms(now),
                 ms(at)
@@ -155,24 +155,24 @@
 
     /// Records that a call's client cancelled it or disconnected.
     pub fn record_client_gone(&mut self, now: Moment, id: u64) {
-        if let Some(seen) = self.calls.get_mut(&id) {
-            seen.gone.get_or_insert(now);
+        if let Some(call) = self.calls.get_mut(&id) {
+            call.gone.get_or_insert(now);
         }
     }
 
     /// Checks a completely received attempt, which had not arrived by `since`.
     pub fn check_attempt(&mut self, since: Moment, scheduler: usize, worker: usize, rid: &str, ttl_ms: u64) {
-        let known = parse_attempt_id(rid).and_then(|(id, again)| Some((self.calls.get_mut(&id)?, again)));
-        let Some((seen, again)) = known else {
+        let known = parse_attempt_id(rid).and_then(|(id, resent)| Some((self.calls.get_mut(&id)?, resent)));
+        let Some((call, resent)) = known else {
             return self
                 .add_violation("an attempt of a call that no client made", format!("{rid} by {scheduler}"));
         };
         let at = since / 1_000_000;
-        let waited_ms = since.saturating_sub(seen.sent) / 1_000_000;
-        let late = !again && ttl_ms + waited_ms > self.allow_ms + TIME_LEFT_SLACK_MS;
-        let gone = seen.gone.filter(|gone| gone + MAX_SEND_AFTER_CLIENT_GONE < since);
-        let repeated = seen.fragile && seen.attempts.iter().any(|(_, never_ran)| !never_ran);
-        seen.attempts.push((worker, false));
+        let waited_ms = since.saturating_sub(call.sent) / 1_000_000;
+        let is_too_long = !resent && ttl_ms + waited_ms > self.allow_ms + TIME_LEFT_SLACK_MS;
+        let gone = call.gone.filter(|gone| gone + MAX_SEND_AFTER_CLIENT_GONE < since);
+        let repeated = call.fragile && call.attempts.iter().any(|(_, never_ran)| !never_ran);
+        call.attempts.push((worker, false));
         let what =
             format!("{rid} by {scheduler} to {worker} at {at} ms, {waited_ms} ms after the call was made");
         if let Some(gone) = gone {
@@ -181,7 +181,7 @@
                 format!("{what}; client gone at {} ms", gone / 1_000_000),
             );
         }
-        if late {
+        if is_too_long {
             self.add_violation("a remaining time that is too long", format!("{what}, with {ttl_ms} ms"));
         }
         if repeated {
@@ -191,16 +191,16 @@
 
     /// Records a worker's answer that an attempt never ran there.
     pub fn record_never_ran(&mut self, worker: usize, rid: &str) {
-        let seen = parse_attempt_id(rid).and_then(|(id, _)| self.calls.get_mut(&id));
-        if let Some(attempt) = seen.and_then(|seen| seen.attempts.iter_mut().rfind(|(at, _)| *at == worker)) {
+        let call = parse_attempt_id(rid).and_then(|(id, _)| self.calls.get_mut(&id));
+        if let Some(attempt) = call.and_then(|call| call.attempts.iter_mut().rfind(|(at, _)| *at == worker)) {
             attempt.1 = true;
         }
     }
 
     /// Checks a rejection of a call, after which its client may retry at once.
     pub fn check_refusal(&mut self, scheduler: usize, id: u64) {
-        let Some(seen) = self.calls.get(&id).filter(|seen| seen.fragile) else { return };
-        if seen.attempts.iter().any(|(_, never_ran)| !never_ran) {
+        let Some(call) = self.calls.get(&id).filter(|call| call.fragile) else { return };
+        if call.attempts.iter().any(|(_, never_ran)| !never_ran) {
             self.add_violation("a refusal of a call that may have run", format!("call {id} by {scheduler}"));
         }
     }
@@ -223,16 +223,16 @@
             );
         }
         let LoadRateLimit { free, share, span } = self.load_limit;
-        let of = self.load_histories.entry(scheduler).or_default();
-        of.load_requests.push_back((since, now));
-        of.load_requests.retain(|(since, _)| *since + span >= now);
+        let history = self.load_histories.entry(scheduler).or_default();
+        history.load_requests.push_back((since, now));
+        history.load_requests.retain(|(since, _)| *since + span >= now);
         // The span that ends with this request may have ended as early as `since`.
-        of.calls.retain(|_, (_, ended)| ended.is_none_or(|at| at + span >= since));
-        // The 15 % and the extra request are the tolerance that the platform allows for sockets.
-        let most = (free + share * of.calls.len() as f64) * 1.15 + 1.0;
-        let load_requests = of.load_requests.len();
-        let found = (load_requests as f64 > most).then(|| {
-            format!("{load_requests} load requests by {scheduler} for {most:.1} at {} ms", now / 1_000_000)
+        history.calls.retain(|_, (_, ended)| ended.is_none_or(|at| at + span >= since));
+        // The platform itself widens the limit like this for sockets.
+        let limit = (free + share * history.calls.len() as f64) * 1.15 + 1.0;
+        let load_requests = history.load_requests.len();
+        let found = (load_requests as f64 > limit).then(|| {
+            format!("{load_requests} load requests by {scheduler} for {limit:.1} at {} ms", now / 1_000_000)
         });
         if let Some(what) = found {
             self.add_violation("more loads than the rate limit allows", what);
--- a/lab/src/rig/client.rs
+++ b/lab/src/rig/client.rs
@@ -80,19 +80,19 @@
 struct Connection {
     scheduler: usize,
     socket: NonBlockingStream,
-    next: u32,
+    next_stream: u32,
     open: BTreeMap<u32, Call>,
     /// Streams of calls that the client gave up; an answer may already be under way.
     abandoned: BTreeSet<u32>,
     /// No new calls are sent on it: the scheduler asked clients to leave, or the connection is no longer usable.
-    closing: bool,
+    leaving: bool,
     last_used: Moment,
 }
 
 /// All clients.
 pub struct Clients {
     connections: Vec<Connection>,
-    next: u64,
+    next_id: u64,
     next_call_at: Moment,
     /// Calls per second over all clients.
     pub rate: f64,
@@ -154,7 +154,7 @@
         let (fragile, allow_ms) = (0.0, 3_000);
         Clients {
             connections,
-            next: 1,
+            next_id: 1,
             next_call_at: 0,
             rate,
             max_retries,
@@ -177,8 +177,8 @@
         }
         let fragile = self.fragile > 0.0 && rng.random_bool(self.fragile);
         let class = if fragile { FRAGILE_CLASS } else { usize::from(rng.random_bool(0.3)) };
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         Call { id, function: self::function_name(function), class, sent: now, resent: false, refusals: 0 }
     }
 
@@ -191,8 +191,9 @@
     ) -> Vec<(usize, Call)> {
         let mut made = vec![];
         for call in std::mem::take(&mut self.to_retry) {
-            let call = Call { id: self.next, sent: now, resent: false, refusals: call.refusals + 1, ..call };
-            self.next += 1;
+            let call =
+                Call { id: self.next_id, sent: now, resent: false, refusals: call.refusals + 1, ..call };
+            self.next_id += 1;
             made.extend(self.send_to_any(now, at, call, rng));
         }
         // Calls that were due while no client was to call are skipped.
@@ -225,7 +226,7 @@
     fn send(&mut self, now: Moment, scheduler: usize, address: SocketAddr, call: Call) {
         let persists = self.persistent.contains(&scheduler);
         let usable = |c: &Connection| {
-            c.scheduler == scheduler && (persists || !c.closing) && c.open.len() < MAX_OPEN_REQUESTS
+            c.scheduler == scheduler && (persists || !c.leaving) && c.open.len() < MAX_OPEN_REQUESTS
         };
         let found = match self.connections.iter().position(usable) {
             Some(found) => found,
@@ -239,10 +240,10 @@
                 let connection = Connection {
                     scheduler,
                     socket,
-                    next: 1,
+                    next_stream: 1,
                     open,
                     abandoned,
-                    closing: false,
+                    leaving: false,
                     last_used: now,
                 };
                 self.connections.push(connection);
@@ -250,9 +251,13 @@
             }
         };
         let connection = &mut self.connections[found];
-        connection.socket.write_buffer.extend(frame(0, connection.next, &request(&call, self.allow_ms)));
-        connection.open.insert(connection.next, call);
-        connection.next += 1;
+        connection.socket.write_buffer.extend(frame(
+            0,
+            connection.next_stream,
+            &request(&call, self.allow_ms),
+        ));
+        connection.open.insert(connection.next_stream, call);
+        connection.next_stream += 1;
         connection.last_used = now;
     }
 
@@ -271,20 +276,20 @@
     /// Cancels some of the calls open at a scheduler and closes some of its connections with open calls. Returns the
     /// ids of the calls given up.
     pub fn cancel_some(&mut self, now: Moment, scheduler: usize, rng: &mut SmallRng) -> Vec<u64> {
-        let mut gone = vec![];
+        let mut cancelled_ids = vec![];
         let mut connections = std::mem::take(&mut self.connections);
         connections.retain_mut(|connection| {
             if connection.scheduler != scheduler || connection.open.is_empty() {
                 return true;
             }
             let closes = rng.random_bool(0.3);
-            let (left, stay) = std::mem::take(&mut connection.open)
+            let (cancelled, kept) = std::mem::take(&mut connection.open)
                 .into_iter()
                 .partition(|_| closes || rng.random_bool(0.3));
-            connection.open = stay;
-            let left: BTreeMap<u32, Call> = left;
-            for (stream, call) in left {
-                gone.push(call.id);
+            connection.open = kept;
+            let cancelled: BTreeMap<u32, Call> = cancelled;
+            for (stream, call) in cancelled {
+                cancelled_ids.push(call.id);
                 self.finish_call(now, scheduler, call, CallOutcome::ClientGone);
                 connection.abandoned.insert(stream);
                 connection.socket.write_buffer.extend(frame(2, stream, &[]));
@@ -293,7 +298,7 @@
             !closes || !connection.socket.write()
         });
         self.connections.append(&mut connections);
-        gone
+        cancelled_ids
     }
 
     /// Whether clients have a connection to a scheduler.
@@ -322,13 +327,13 @@
             let alive = connection.socket.write() && connection.socket.read();
             self.read_frames(now, connection);
             let scheduler = connection.scheduler;
-            let abandoned: Vec<u32> = connection
+            let overdue: Vec<u32> = connection
                 .open
                 .iter()
                 .filter(|(_, c)| c.sent + allow + ANSWER_SLACK <= now)
                 .map(|(n, _)| *n)
                 .collect();
-            for stream in abandoned {
+            for stream in overdue {
                 let Some(call) = connection.open.remove(&stream) else { continue };
                 let outcome = if excused(scheduler, call.sent, now) {
                     CallOutcome::Lost
@@ -341,9 +346,9 @@
                 connection.socket.write_buffer.extend(frame(2, stream, &[]));
             }
             if alive {
-                let leaves = connection.closing && !persists;
+                let may_close = connection.leaving && !persists;
                 let idle =
-                    connection.open.is_empty() && (leaves || connection.last_used + IDLE_TIMEOUT <= now);
+                    connection.open.is_empty() && (may_close || connection.last_used + IDLE_TIMEOUT <= now);
                 return !idle;
             }
             for (_, call) in std::mem::take(&mut connection.open) {
@@ -391,7 +396,7 @@
                         self.finish_call(now, connection.scheduler, call, outcome);
                     }
                     (None, _) if connection.abandoned.remove(&stream) => {}
-                    (None, _) if stream < connection.next && stream > 0 => {
+                    (None, _) if stream < connection.next_stream && stream > 0 => {
                         self.unexpected.push(format!(
                             "scheduler {}: a second answer on stream {stream}",
                             connection.scheduler
@@ -401,7 +406,7 @@
                         .unexpected
                         .push(format!("scheduler {}: an unexpected answer", connection.scheduler)),
                 },
-                9 => connection.closing = true,
+                9 => connection.leaving = true,
                 _ => {}
             }
         }
--- a/lab/src/rig/environment.rs
+++ b/lab/src/rig/environment.rs
@@ -47,7 +47,7 @@
 const KILL_AFTER_DEADLINE: u64 = 700 * MILLISECOND;
 /// How long clients open new connections after SIGTERM, in nanoseconds.
 const NEW_CONNECTIONS_AFTER_TERM: u64 = 300 * MILLISECOND;
-/// The rate at which scheduler_seconds scheduler may request loads.
+/// The rate at which each scheduler may request loads.
 const LOAD_RATE_LIMIT: LoadRateLimit = LoadRateLimit { free: 3.0, share: 0.3, span: 5 * SECOND };
 
 /// Options of a run.
@@ -63,16 +63,18 @@
     pub logs: Option<PathBuf>,
 }
 
+/// A simulated worker with its sockets.
 struct WorkerHost {
     process: SimulatedWorker,
     uid: u32,
     /// When it started, by the site's clocks, in Unix milliseconds; 0 if that was long ago.
     started_ms: u64,
-    /// Its address for scheduler_seconds scheduler; nothing listens there while it is down.
+    /// Its address for each scheduler; nothing listens there while it is down.
     addresses: Vec<SocketAddr>,
     listeners: Vec<Option<TcpListener>>,
 }
 
+/// A connection of a scheduler to a worker, with the link\'s two directions.
 struct WorkerConnection {
     id: u64,
     scheduler: usize,
@@ -83,7 +85,7 @@
     ended: bool,
 }
 
-/// The link between two schedulers: scheduler_seconds sends to its own socket to reach the other.
+/// The link between two schedulers: each sends to its own socket to reach the other.
 struct PeerLink {
     pair: (usize, usize),
     sockets: (UdpSocket, UdpSocket),
@@ -91,11 +93,13 @@
     backward: Datagrams,
 }
 
+/// A scheduler\'s discovery server; each client has the offset of the last event sent to it.
 struct DiscoveryBus {
     listener: TcpListener,
     clients: Vec<(TcpStream, Option<u64>)>,
 }
 
+/// The state of a run.
 struct Environment {
     scenario: Scenario,
     options: Options,
@@ -122,21 +126,25 @@
     calls_enabled: bool,
     calls: u64,
     audit: Audit,
-    /// Condition of the links from scheduler_seconds scheduler to scheduler_seconds worker, and back.
+    /// Condition of the links from each scheduler to each worker, and back.
     worker_conditions: Vec<Vec<(LinkCondition, LinkCondition)>>,
-    /// Condition of the links from scheduler_seconds scheduler to scheduler_seconds other one.
+    /// Condition of the links from each scheduler to each other one.
     peer_conditions: Vec<Vec<LinkCondition>>,
+    /// Active faults with their targets.
     active_faults: Vec<(ScheduledFault, Vec<usize>)>,
     absence: Absence,
-    /// Since when clients avoid scheduler_seconds scheduler; a time in the future while they have not noticed yet.
+    /// Since when clients avoid each scheduler; a time in the future while they have not noticed yet.
     avoided_since: Vec<Option<Moment>>,
     upgrading: BTreeSet<usize>,
+    /// The scheduler that holds each task and part.
     lease_holders: BTreeMap<(String, u16), usize>,
     hold_log: Vec<Hold>,
+    /// When a fault ended the hold of each task and part that is not held again yet.
     ended_holds: BTreeMap<(String, u16), Moment>,
     hold_gaps: Vec<u64>,
     faults: Vec<String>,
     internal_faults: InternalFaults,
+    /// Number of datagrams between schedulers, and their bytes.
     datagrams: (u64, u64),
     finished_calls: Vec<client::FinishedCall>,
     top_instances: Vec<usize>,
@@ -152,6 +160,7 @@
     environment.run(name).map_err(|e| format!("the run failed: {e}"))
 }
 
+/// The settings of one scheduler.
 fn settings(scenario: &Scenario, index: usize) -> Value {
     let (mut settings, kind) = (stand_ins::settings(), &scenario.worker);
     let mut fragile = settings["classes"][0].clone();
@@ -176,6 +185,7 @@
     settings
 }
 
+/// The operator\'s file of one scheduler.
 fn operator(
     scenario: &Scenario,
     index: usize,
@@ -389,6 +399,7 @@
         }
     }
 
+    /// Runs one round: waits, then serves everything once.
     fn round(&mut self) -> std::io::Result<()> {
         std::thread::sleep(ROUND_INTERVAL);
         let begins = self.started.elapsed().as_nanos() as Moment;
--- a/lab/src/rig/worker.rs
+++ b/lab/src/rig/worker.rs
@@ -166,7 +166,7 @@
     }
 
     /// Current speed as a fraction of the full speed.
-    fn pace(&self, now: Moment) -> f64 {
+    fn speed(&self, now: Moment) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = (now - started) as f64 / (self.kind.cold_ms * MILLISECOND) as f64;
         self.kind.cold_from + (1.0 - self.kind.cold_from) * age.min(1.0)
@@ -177,13 +177,13 @@
     fn is_overloaded(&mut self, now: Moment) -> bool {
         let span = self.kind.fall_ms * MILLISECOND;
         self.arrivals.retain(|at| *at + span > now);
-        let pace = self.pace(now);
+        let speed = self.speed(now);
         let capacity =
-            self.kind.lanes as f64 / (self.kind.work_ms / 1e3) * pace * span as f64 / SECOND as f64;
+            self.kind.lanes as f64 / (self.kind.work_ms / 1e3) * speed * span as f64 / SECOND as f64;
         let tolerated = capacity * self.kind.fall_multiple;
         let slack =
             if tolerated < 30.0 { 3.0 * tolerated.sqrt() + 3.0 } else { 2.0 * tolerated.sqrt() + 2.0 };
-        pace < 1.0 && self.arrivals.len() as f64 > tolerated + slack
+        speed < 1.0 && self.arrivals.len() as f64 > tolerated + slack
     }
 
     /// Processes a received line. Returns whether the worker crashed from overload.
@@ -203,7 +203,7 @@
                 self.full_answers += 1;
                 out.push((connection, json!({"verb": "503", "rid": rid}).to_string()));
             }
-            "go" => return self.take_call(now, connection, line, out),
+            "go" => return self.enqueue_call(now, connection, line, out),
             "halt" => {
                 self.waiting.retain(|call| call.connection != connection || call.rid != rid);
                 self.running.retain(|(_, call)| call.connection != connection || call.rid != rid);
@@ -239,7 +239,7 @@
     }
 
     /// Enqueues a received call. Returns whether the worker crashed from overload.
-    fn take_call(&mut self, now: Moment, connection: u64, line: &Value, out: &mut Vec<SentLine>) -> bool {
+    fn enqueue_call(&mut self, now: Moment, connection: u64, line: &Value, out: &mut Vec<SentLine>) -> bool {
         let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
         let (rid, attrs) = (text(&line["rid"]), &line["attrs"]);
         self.calls += 1;
@@ -304,7 +304,7 @@
                 continue;
             };
             // Run times are uniform between half and one and a half times the mean.
-            let work = self.kind.work_ms * rng.random_range(0.5..1.5) * self.slowdown / self.pace(now);
+            let work = self.kind.work_ms * rng.random_range(0.5..1.5) * self.slowdown / self.speed(now);
             let end = ready + (work * MILLISECOND as f64) as u64;
             if let Some(instance) = self.instances.get_mut(&call.function) {
                 instance.until = instance.until.max(end + INSTANCE_KEEP_ALIVE);
--- a/lab/src/stand_ins.rs
+++ b/lab/src/stand_ins.rs
@@ -192,17 +192,17 @@
         self.received.try_recv().is_err()
     }
 
-    /// Answers every line as `how` says, for the rest of the test, and records the lines.
+    /// Answers every line as `answer` says, for the rest of the test, and records the lines.
     pub fn serve(
         self,
-        how: impl Fn(&ReceivedLine) -> Option<(&'static str, String)> + Send + 'static,
+        answer: impl Fn(&ReceivedLine) -> Option<(&'static str, String)> + Send + 'static,
     ) -> Lines {
         let lines = Lines::default();
         let kept = lines.clone();
         thread::spawn(move || {
             while let Ok(mut received) = self.received.recv() {
                 kept.0.lock().unwrap().push(received.line.clone());
-                if let Some((status, content)) = how(&received) {
+                if let Some((status, content)) = answer(&received) {
                     received.answer(status, &content);
                 }
             }
