--- a/lab/src/domain.rs
+++ b/lab/src/domain.rs
@@ -1,7 +1,7 @@
-//! A simulated distribution domain in virtual time: replicas, relays and subscribers run the production state machine on
-//! a network with injected faults, and the domain acts as the lease service. The [`Ledger`] checks invariants of every
-//! process at every step: versions never decrease, only committed versions are installed, and one version always has the
-//! same records.
+//! A simulated distribution domain in virtual time: replicas, relays and subscribers run the production state machine
+//! on a network with injected faults, and the domain acts as the lease service. The [`Ledger`] checks every process
+//! at every step: versions never decrease, only committed versions are installed, and a version always has the same
+//! records.
 
 mod links;
 mod measure;
@@ -33,7 +33,7 @@
 /// Changes of the initial list that are published in one batch.
 const INITIAL_BATCH_CHANGES: usize = 300;
 /// How long publishing the initial list may take.
-const INITIAL_PUBLISH_TIMEOUT: Duration = Duration(300_000_000_000);
+const LIST_TIMEOUT: Duration = Duration(300_000_000_000);
 /// Name of the domain.
 const DOMAIN_NAME: &str = "lab";
 
@@ -311,12 +311,11 @@
 
     /// Partitions the network: processes reach only those on the same side. All unlisted processes reach each other.
     pub fn partition(&mut self, sides: &[Vec<(Role, usize)>]) {
-        let mut sides_by_address = BTreeMap::new();
+        let mut side_of = BTreeMap::new();
         for (number, side) in sides.iter().enumerate() {
-            sides_by_address
-                .extend(side.iter().map(|(role, index)| (self.address(*role, *index), number + 1)));
+            side_of.extend(side.iter().map(|(role, index)| (self.address(*role, *index), number + 1)));
         }
-        self.links.borrow_mut().sides = sides_by_address.into_iter().collect();
+        self.links.borrow_mut().sides = side_of.into_iter().collect();
     }
 
     /// Removes all partitions and link impairments.
@@ -367,8 +366,8 @@
         self.fences.get(&index).copied()
     }
 
-    /// Grants a replica the lease for `span`, under the next fence. The previous holder is not notified: a process that is
-    /// suspended or unreachable for the lease service keeps acting on its last notification.
+    /// Grants a replica the lease for `span`, under the next fence. The previous holder is not notified: a suspended or
+    /// unreachable process keeps acting on its last notification.
     pub fn grant(&mut self, index: usize, span: Duration) -> u64 {
         self.lease.fence += 1;
         let until = self.now() + span;
@@ -509,15 +508,12 @@
         let classes = self.classes.iter().map(|(name, text)| class_change(name, Some(text.clone())));
         let workers = self.workers.iter().map(|(worker, record)| worker_change(*worker, *record));
         let all: Vec<Change> = classes.chain(workers).chain([complete]).collect();
-        let end = self.now() + INITIAL_PUBLISH_TIMEOUT;
+        let end = self.now() + LIST_TIMEOUT;
         let mut last = Err("nothing to publish".to_owned());
         for chunk in all.chunks(INITIAL_BATCH_CHANGES) {
             loop {
                 if self.now() >= end {
-                    return Err(format!(
-                        "not published within {} s: {last:?}",
-                        INITIAL_PUBLISH_TIMEOUT.secs()
-                    ));
+                    return Err(format!("not published within {} s: {last:?}", LIST_TIMEOUT.secs()));
                 }
                 match self.publish_now(chunk.to_vec()) {
                     Some(Ok(version)) => {
--- a/lab/src/hollow.rs
+++ b/lab/src/hollow.rs
@@ -1,5 +1,6 @@
 //! A process of a distribution domain without sockets or a clock: the production [`DistributionNode`] behind the
-//! production datagram codec, so that the counted bytes are real. It reports every version it installs to the [`Ledger`].
+//! production datagram codec, so that the counted bytes are real. It reports every version it installs to the
+//! [`Ledger`].
 
 use crate::ledger::Ledger;
 use crate::network::{Outgoing, Process};
@@ -181,8 +182,8 @@
             ledger
                 .record_violation(format!("{} installed {change:?}, which is outside its interest", self.at));
         }
-        // A replica that holds the lease, or believes that it does, commits. An unfinished batch of its predecessor keeps
-        // the predecessor's fence.
+        // A replica that holds the lease, or believes that it does, commits. An unfinished batch of its predecessor
+        // keeps the predecessor's fence.
         if let Some(grant) = self.grant.filter(|_| self.role == Role::Replica) {
             let node = last.then_some(&self.node);
             ledger.committed(self.at, grant.fence, self.version, version, changes, node);
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -363,8 +363,8 @@
         Some(records)
     }
 
-    /// Acknowledged changes that are not in force, except those of records that a later publication, or one whose outcome
-    /// is unknown, may have overwritten.
+    /// Acknowledged changes that are not in force, except those of records that a later publication, or one whose
+    /// outcome is unknown, may have overwritten.
     pub fn lost_changes(&self) -> Vec<String> {
         if self.histories.len() > 1 {
             return vec![];
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -178,9 +178,9 @@
         }
     }
 
-    fn schedule(&mut self, time: u64, output: Event) {
+    fn schedule(&mut self, time: u64, event: Event) {
         self.next_number += 1;
-        self.queue.push(Reverse((time, self.next_number, output)));
+        self.queue.push(Reverse((time, self.next_number, event)));
     }
 
     fn start(&mut self, index: usize) {
@@ -399,8 +399,8 @@
         *self.report.faults.entry(name).or_default() += 1;
     }
 
-    fn handle_event(&mut self, output: Event) {
-        match output {
+    fn handle_event(&mut self, event: Event) {
+        match event {
             Event::Wake(index, incarnation) => {
                 let Some(running) = &mut self.running[index] else { return };
                 if running.process.incarnation != incarnation {
@@ -444,9 +444,9 @@
 
     fn run_until(&mut self, end: u64) {
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at < end) {
-            let Some(Reverse((at, _, output))) = self.queue.pop() else { return };
+            let Some(Reverse((at, _, event))) = self.queue.pop() else { return };
             self.now = self.now.max(at);
-            self.handle_event(output);
+            self.handle_event(event);
         }
         self.now = end;
     }
@@ -578,9 +578,9 @@
     );
     let gossip_spread =
         reports.iter().filter_map(|(_, r)| r.gossip_spread).map(Duration::secs).fold(0.0, f64::max);
-    let observed_at = reports.iter().filter(|(_, r)| r.gossip_spread.is_some()).count();
+    let spread_count = reports.iter().filter(|(_, r)| r.gossip_spread.is_some()).count();
     println!(
-        "members known at the end: {:.1} at least; a gossip update reached all in {observed_at} seeds, within {gossip_spread:.2} s",
+        "members known at the end: {:.1} at least; a gossip update reached all in {spread_count} seeds, within {gossip_spread:.2} s",
         each(|r| r.members_known as f64)
     );
     println!(
--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -12,9 +12,9 @@
 //!   are determined by the seed. Processor time is that of the state machines' own calls per process: their wall time,
 //!   multiplied by the ratio of processor time to wall time of the simulating thread, so that the load of the machine
 //!   has no effect. Memory is the growth of the resident memory per process;
-//! - real rows: processor time from `/proc/PID/task/*/schedstat` (or `/proc/PID/stat`) over the seconds of the run, memory
-//!   from `VmRSS`, start time from the spawn to the log line `serving`, and the stall of the serving thread as the
-//!   longest round trip of a client that sends a readiness request to the clients' front every millisecond.
+//! - real rows: processor time from `/proc/PID/task/*/schedstat` (or `/proc/PID/stat`) over the seconds of the run,
+//!   memory from `VmRSS`, start time from the spawn to the log line `serving`, and the stall of the serving thread as
+//!   the longest round trip of a client that sends a readiness request to the clients' front every millisecond.
 
 mod children;
 mod configuration;
@@ -139,7 +139,7 @@
     for fit in &fits {
         println!("{fit}");
     }
-    let about = report::RunInfo {
+    let info = report::RunInfo {
         command: command(),
         version: options.version(),
         seed: options.seed,
@@ -152,7 +152,7 @@
         load: (load, system::load_average()),
     };
     let rows: Vec<Row> = measured.into_iter().map(|(_, row)| row).collect();
-    target.map_or(Ok(()), |target| target.write(&about, &rows, &fits))
+    target.map_or(Ok(()), |target| target.write(&info, &rows, &fits))
 }
 
 /// Runs all parts of a plan: those with hollow processes in sequence, and those with real ones in parallel to them.
--- a/lab/src/scale/costs.rs
+++ b/lab/src/scale/costs.rs
@@ -38,8 +38,8 @@
     pub fn since(&self, from: &Snapshot, seconds: f64) -> Vec<Cost> {
         let wall = (self.thread.0 - from.thread.0).as_secs_f64();
         let cpu = self.thread.1.zip(from.thread.1).map(|(to, from)| to.saturating_sub(from).as_secs_f64());
-        // On a busy machine the thread waits for a processor, during calls as well as between them, so that their wall time
-        // is scaled by the fraction of time in which the thread ran.
+        // On a busy machine the thread waits for a processor, during calls as well as between them, so that their
+        // wall time is scaled by the fraction of time in which the thread ran.
         let cpu_fraction = cpu.map_or(1.0, |cpu| (cpu / wall.max(1e-9)).min(1.0));
         let cost = |(at, (traffic, busy_time)): (&SocketAddr, &(Traffic, Duration))| {
             let (before, busy_time_before) = from.processes.get(at)?;
--- a/lab/src/scale/distribution.rs
+++ b/lab/src/scale/distribution.rs
@@ -189,8 +189,8 @@
         self.add_costs(&costs);
     }
 
-    /// Runs the measured seconds with changes and with `rate` faults per second. Returns the changes and the resource usage.
-    /// A change that could not be published is submitted again, as a publisher's source does.
+    /// Runs the measured seconds with changes and with `rate` faults per second. Returns the changes and the resource
+    /// usage. A change that could not be published is submitted again, as a publisher's source does.
     fn run_changes(&mut self, rate: f64) -> (Vec<PendingChange>, Vec<Cost>) {
         let from = self.snapshot();
         let base = self.domain.now();
@@ -225,8 +225,8 @@
     }
 
     fn measure_changes(&mut self) -> Result<(), String> {
-        let like = self.rows.template();
-        (like.changes_per_second, like.faults_per_second) = (self.plan.changes, self.plan.faults);
+        let template = self.rows.template();
+        (template.changes_per_second, template.faults_per_second) = (self.plan.changes, self.plan.faults);
         let (all, costs) = self.run_changes(self.plan.faults);
         self.add_costs(&costs);
         self.add_propagation("seconds_to_all", &all);
@@ -244,8 +244,8 @@
         }
     }
 
-    /// Adds the times from the first submission of each change until it was installed at the interested processes that ran
-    /// by then.
+    /// Adds the times from the first submission of each change until it was installed at the interested processes
+    /// that ran by then.
     fn add_propagation(&mut self, quantity: &str, all: &[PendingChange]) {
         let (mut published, mut missing) = (0.0, 0.0);
         let mut seconds: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
@@ -283,8 +283,8 @@
         let (after_failure, _) = self.run_changes(0.0);
         self.add_propagation("seconds_to_all_quarter_dead", &after_failure);
         killed.iter().for_each(|(role, index)| self.domain.start(*role, *index));
-        let like = self.rows.template();
-        (like.changes_per_second, like.faults_per_second) = (0.0, 0.0);
+        let template = self.rows.template();
+        (template.changes_per_second, template.faults_per_second) = (0.0, 0.0);
         self.settle()
     }
 
--- a/lab/src/scale/members.rs
+++ b/lab/src/scale/members.rs
@@ -298,8 +298,8 @@
     fn rows(&self, costs: &[Cost], published_at: &BTreeMap<u64, Timestamp>, memory: f64) -> Vec<Row> {
         let plan = self.plan;
         let mut rows = Rows::new(plan, "hollow", Setup::Members);
-        let like = rows.template();
-        (like.hollow, like.changes_per_second, like.faults_per_second) =
+        let template = rows.template();
+        (template.hollow, template.changes_per_second, template.faults_per_second) =
             (plan.members(), plan.changes, plan.faults);
         let (file_bytes, file_seconds) = configuration_file_cost(plan);
         let (file, read_cpu_percent) = (plan.changes * file_bytes, plan.changes * file_seconds * 100.0);
--- a/lab/src/scale/module.rs
+++ b/lab/src/scale/module.rs
@@ -1,5 +1,5 @@
-//! The decision module alone: the cost of first and further calls of functions by the number of workers, and the cost of
-//! its periodic walk over all workers.
+//! The decision module alone: the cost of first and further calls of functions by the number of workers, and the cost
+//! of its periodic walk over all workers.
 
 use super::configuration::Configuration;
 use super::report::quantile;
@@ -13,8 +13,8 @@
 const FIRST_CALLS_WINDOW: Duration = Duration::millis(6_000);
 /// Minimum number of functions, so that means are significant.
 const MIN_FUNCTIONS: usize = 200;
-/// For the memory that a function keeps: functions called per step, their maximum before and during the measurement, and
-/// the interval of the calls, which is short enough that none is forgotten meanwhile.
+/// For the memory that a function keeps: functions called per step, their maximum before and during the measurement,
+/// and the interval of the calls, which is short enough that none is forgotten meanwhile.
 const FUNCTIONS_PER_STEP: usize = 50;
 const MAX_FUNCTIONS: usize = 15_000;
 const CALL_INTERVAL: Duration = Duration(200_000);
@@ -138,8 +138,8 @@
         while self.core.next_command().is_some() {}
     }
 
-    /// Submits one call of a function after a pause and returns the seconds that it took. The client disconnects at once, so
-    /// that no answer of a worker is needed and calls do not accumulate.
+    /// Submits one call of a function after a pause and returns the seconds that it took. The client disconnects at
+    /// once, so that no answer of a worker is needed and calls do not accumulate.
     fn call(&mut self, function: u64, pause: Duration, memory_mb: f64) -> f64 {
         self.advance(pause);
         self.calls += 1;
--- a/lab/src/scale/plan.rs
+++ b/lab/src/scale/plan.rs
@@ -220,8 +220,8 @@
         Ok(())
     }
 
-    /// Memory of a domain in which schedulers hold the records of one zone each and control processes hold all, plus the
-    /// same domain without schedulers, the source and the audit.
+    /// Memory of a domain in which schedulers hold the records of one zone each and control processes hold all, plus
+    /// the same domain without schedulers, the source and the audit.
     fn domain_bytes(&self) -> usize {
         let control = (HOLLOW_REPLICAS + HOLLOW_RELAYS) * 2 + 4;
         let records = self.hollow * self.workers.div_ceil(ZONE_COUNT) + control * self.workers;
--- a/lab/src/scale/real.rs
+++ b/lab/src/scale/real.rs
@@ -53,9 +53,9 @@
     /// Atomically replaces the configuration file that schedulers read, and returns its size.
     fn write_config(&self) -> Result<usize, String> {
         let (text, temporary) = (self.configuration.text(), self.folder.at("config.draft"));
-        let put =
+        let written =
             std::fs::write(&temporary, &text).and_then(|()| std::fs::rename(&temporary, self.config_path()));
-        put.map(|()| text.len()).map_err(|e| format!("cannot write a configuration: {e}"))
+        written.map(|()| text.len()).map_err(|e| format!("cannot write a configuration: {e}"))
     }
 
     fn start(&mut self) -> Result<(), String> {
@@ -89,16 +89,16 @@
     }
 
     /// Adds the resource usage while no function is called.
-    fn add_costs(&mut self, (bytes, most_bytes, messages): (f64, f64, f64), percent: Vec<f64>) {
-        let (cpu, most_cpu) = mean_and_max(percent);
+    fn add_costs(&mut self, (bytes, max_bytes, messages): (f64, f64, f64), percent: Vec<f64>) {
+        let (cpu, max_cpu) = mean_and_max(percent);
         let (resident, max) = mean_and_max(self.daemons.iter().map(Daemon::resident_mb));
         let (peak, _) = mean_and_max(self.daemons.iter().map(Daemon::peak_resident_mb));
         let rows = &mut self.rows;
         rows.add("scheduler", "control_bytes_per_second", "B/s", bytes);
-        rows.add("scheduler", "control_bytes_per_second_max", "B/s", most_bytes);
+        rows.add("scheduler", "control_bytes_per_second_max", "B/s", max_bytes);
         rows.add("scheduler", "messages_per_second", "1/s", messages);
         rows.add("scheduler", "cpu_percent_of_core", "%", cpu);
-        rows.add("scheduler", "cpu_percent_of_core_max", "%", most_cpu);
+        rows.add("scheduler", "cpu_percent_of_core_max", "%", max_cpu);
         rows.add("scheduler", "resident_mb", "MB", resident);
         rows.add("scheduler", "resident_mb_max", "MB", max);
         rows.add("scheduler", "resident_mb_peak", "MB", peak);
@@ -145,11 +145,11 @@
             while started_at.elapsed() < length {
                 self.configuration.change();
                 bytes += self.write_config()?;
-                let put = Instant::now();
+                let written_at = Instant::now();
                 daemon::reload(&daemons)?;
                 for daemon in &daemons {
                     let (at, _) = daemon.wait_for_line("reloaded")?;
-                    seconds.push(at.saturating_duration_since(put).as_secs_f64());
+                    seconds.push(at.saturating_duration_since(written_at).as_secs_f64());
                 }
                 done += 1;
                 thread::sleep((step * done).min(length).saturating_sub(started_at.elapsed()));
--- a/lab/src/scale/real_domain.rs
+++ b/lab/src/scale/real_domain.rs
@@ -67,9 +67,9 @@
     all.map_err(|e| format!("cannot find addresses for a domain: {e}"))
 }
 
-fn toml_list(free_addresses: &[SocketAddr]) -> String {
-    let free_addresses: Vec<String> = free_addresses.iter().map(|at| format!("\"{at}\"")).collect();
-    format!("[{}]", free_addresses.join(", "))
+fn toml_list(addresses: &[SocketAddr]) -> String {
+    let addresses: Vec<String> = addresses.iter().map(|at| format!("\"{at}\"")).collect();
+    format!("[{}]", addresses.join(", "))
 }
 
 fn child_config(role: &str, at: SocketAddr, parents: &[SocketAddr]) -> String {
@@ -203,16 +203,16 @@
             let written = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, path));
             written.map_err(|e| format!("cannot write a configuration: {e}"))?;
         }
-        let written = Instant::now();
+        let written_at = Instant::now();
         daemon::reload(&self.replicas)?;
-        Ok(written)
+        Ok(written_at)
     }
 
     /// Waits until all schedulers have installed a change. Returns the seconds that each took.
-    fn wait_until_installed(&self, written: Instant) -> Result<Vec<f64>, String> {
+    fn wait_until_installed(&self, written_at: Instant) -> Result<Vec<f64>, String> {
         let wait = |daemon: &Daemon| {
             let (at, _) = daemon.wait_for_line("distribution installed")?;
-            Ok(at.saturating_duration_since(written).as_secs_f64())
+            Ok(at.saturating_duration_since(written_at).as_secs_f64())
         };
         self.subscribers.iter().map(wait).collect()
     }
@@ -231,8 +231,8 @@
         let mut times = vec![];
         for _ in 0..STALL_CHANGES {
             let longest = longest_round_trip(at, || {
-                let written = self.publish()?;
-                self.wait_until_installed(written)?;
+                let written_at = self.publish()?;
+                self.wait_until_installed(written_at)?;
                 thread::sleep(CHANGE_SETTLE_TIME);
                 Ok(())
             })?;
@@ -252,8 +252,8 @@
         let first = self.rows.rows.len();
         self.add_costs(|run| {
             while started_at.elapsed() < length {
-                let written = run.publish()?;
-                seconds.extend(run.wait_until_installed(written)?);
+                let written_at = run.publish()?;
+                seconds.extend(run.wait_until_installed(written_at)?);
                 done += 1;
                 thread::sleep((step * done).min(length).saturating_sub(started_at.elapsed()));
             }
--- a/lab/src/scale/real_fleet.rs
+++ b/lab/src/scale/real_fleet.rs
@@ -1,5 +1,5 @@
-//! Real schedulers as members of one fleet on loopback: the cost of membership, leases, gossip and the overload controller,
-//! by their own figures and those of the operating system.
+//! Real schedulers as members of one fleet on loopback: the cost of membership, leases, gossip and the overload
+//! controller, by their own figures and those of the operating system.
 
 use super::configuration::Configuration;
 use super::daemon::{self, Daemon, RESPONSE_TIMEOUT};
@@ -89,8 +89,8 @@
         );
         let (config, file) = (folder.at(&format!("{n}.json")), folder.at(&format!("{n}.toml")));
         let text = configuration.for_member(n, plan.real).text();
-        let put = std::fs::write(&config, text).and_then(|()| std::fs::write(&file, operator));
-        put.map_err(|e| format!("cannot write a configuration: {e}"))?;
+        let written = std::fs::write(&config, text).and_then(|()| std::fs::write(&file, operator));
+        written.map_err(|e| format!("cannot write a configuration: {e}"))?;
         daemons.push(Daemon::start(plan, folder, &config, &file)?);
     }
     Ok(daemons)
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Scale runs: their options, the files that they write, and that a seed determines the figures. Sizes are small, and no
-//! figure is checked against a limit.
+//! Scale runs: their options, the files that they write, and that a seed determines the figures. Sizes are small, and
+//! no figure is checked against a limit.
 
 #![allow(
     clippy::unwrap_used,
