--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -1,6 +1,7 @@
-//! The capacity page: `docs/CAPACITY.md` from targets, assumptions and recorded runs, and whether they still agree.
+//! The capacity page: generates the tables of `docs/CAPACITY.md` from targets, assumptions and recorded runs, and checks
+//! that page and data agree.
 //!
-//! Tables between markers are derived; the prose round them is written by hand and may quote targets and assumptions,
+//! Tables between markers are generated; the prose around them is written by hand and may quote targets and assumptions,
 //! but no other figure.
 
 mod codec;
@@ -43,7 +44,7 @@
         ("moments-scheduler", moments::scheduler(&model)),
         ("moments-control", moments::control(&model)),
         ("commits", moments::commits(&model)),
-        ("played", played::played(&model)),
+        ("played", played::measured_runs(&model)),
         ("mechanisms", mechanisms::ranking(&model)),
         ("reach", questions::reach(&model)),
         ("without-control", questions::without_control(&model)),
@@ -53,16 +54,18 @@
         ("slopes", sources::slopes(&model)),
         ("runs", sources::runs(&model)),
     ];
-    let mistakes = model.mistakes();
-    if mistakes.is_empty() { Ok(tables) } else { Err(mistakes) }
+    let errors = model.input_errors();
+    if errors.is_empty() { Ok(tables) } else { Err(errors) }
 }
 
-/// Figures that prose may quote: targets and assumptions.
+/// Figures that the prose may quote: values of targets, and values and alternatives of assumptions.
 fn quotable(data: &Data) -> BTreeSet<String> {
-    let targets = data.targets.iter().map(|target| target.value);
-    let assumed =
-        data.assumptions.iter().flat_map(|each| each.alternatives.iter().copied().chain([each.value]));
-    targets.chain(assumed).map(|value| value.to_string()).collect()
+    let target_values = data.targets.iter().map(|target| target.value);
+    let assumption_values = data
+        .assumptions
+        .iter()
+        .flat_map(|assumption| assumption.alternatives.iter().copied().chain([assumption.value]));
+    target_values.chain(assumption_values).map(|value| value.to_string()).collect()
 }
 
 fn read(root: &Path) -> Result<(String, Data), Vec<String>> {
@@ -73,30 +76,31 @@
     Ok((page, data))
 }
 
-/// Writes the tables into the page; all that is wrong with data or page otherwise, and the page stays.
+/// Writes the tables into the page. On errors in the data or the page it returns all of them and leaves the page
+/// unchanged.
 pub fn write(root: &Path) -> Result<(), Vec<String>> {
     let (page, data) = read(root)?;
     let written = page::write(&page, &tables(&data)?)?;
-    let loose = page::loose_figures(&written, &quotable(&data));
-    if !loose.is_empty() {
-        return Err(loose);
+    let unsourced = page::unsourced_figures(&written, &quotable(&data));
+    if !unsourced.is_empty() {
+        return Err(unsourced);
     }
     let path = page_path(root);
     std::fs::write(&path, written).map_err(|e| vec![format!("cannot write {}: {e}", path.display())])
 }
 
-/// What `lab capacity` does; the error names all that is wrong, a line each.
+/// Runs `lab capacity`; the error text lists all errors, one per line.
 pub fn run(root: &Path, only_check: bool) -> Result<(), String> {
-    let done = if only_check { check(root) } else { write(root) };
-    done.map_err(|wrong| wrong.join("\n"))?;
+    let result = if only_check { check(root) } else { write(root) };
+    result.map_err(|errors| errors.join("\n"))?;
     println!("{} and its data agree", page_path(root).display());
     Ok(())
 }
 
-/// Whether page and data agree; all differences otherwise, each with its table.
+/// Checks that page and data agree; returns all differences otherwise, each with the name of its table.
 pub fn check(root: &Path) -> Result<(), Vec<String>> {
     let (page, data) = read(root)?;
-    let mut wrong = page::differences(&page, &tables(&data)?);
-    wrong.extend(page::loose_figures(&page, &quotable(&data)));
-    if wrong.is_empty() { Ok(()) } else { Err(wrong) }
+    let mut errors = page::differences(&page, &tables(&data)?);
+    errors.extend(page::unsourced_figures(&page, &quotable(&data)));
+    if errors.is_empty() { Ok(()) } else { Err(errors) }
 }
--- a/lab/src/capacity/codec.rs
+++ b/lab/src/capacity/codec.rs
@@ -1,4 +1,4 @@
-//! Sizes on the wire, asked of the shipped codec with records like those of the target fleet.
+//! Sizes on the wire: encodes records like those of the target fleet with the codec that the daemon uses.
 
 use mintgate::ZoneId;
 use mintgate::fleet::distribution::{
@@ -9,25 +9,25 @@
 use mintgate::fleet::{Process, message};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A sequence as it stands after a year of changes.
-const LATE: u64 = 50_000_000;
-/// A fence: milliseconds of Unix time at its start.
-const FENCE: u64 = 1_796_165_888_725;
+/// The sequence number after a year of changes.
+const SEQUENCE_AFTER_A_YEAR: u64 = 50_000_000;
+/// An example fence: the Unix time in milliseconds at the start of its term.
+const EXAMPLE_FENCE_UNIX_MS: u64 = 1_796_165_888_725;
 
 fn process() -> Process {
     Process { index: 17_999, incarnation: u64::MAX / 3 }
 }
 
-fn bytes(message: DistributionMessage) -> f64 {
-    distribution::datagram(FENCE, process(), &[message]).len() as f64
+fn encoded_bytes(message: DistributionMessage) -> f64 {
+    distribution::datagram(EXAMPLE_FENCE_UNIX_MS, process(), &[message]).len() as f64
 }
 
 fn page(changes: Vec<Change>) -> DistributionMessage {
-    let head = Version { fence: FENCE, sequence: LATE };
-    let after = LATE - changes.len() as u64;
-    let (digest, since, publishes, age_ms) = (u64::MAX / 5, LATE - 10_000, 0, 250);
+    let head = Version { fence: EXAMPLE_FENCE_UNIX_MS, sequence: SEQUENCE_AFTER_A_YEAR };
+    let after = SEQUENCE_AFTER_A_YEAR - changes.len() as u64;
+    let (digest, since, publishes, age_ms) = (u64::MAX / 5, SEQUENCE_AFTER_A_YEAR - 10_000, 0, 250);
     let steps = vec![1; changes.len()];
-    let (start, upto) = (after, LATE);
+    let (start, upto) = (after, SEQUENCE_AFTER_A_YEAR);
     DistributionMessage::Page(Page {
         start,
         after,
@@ -52,7 +52,7 @@
         kind: 1,
         draining: false,
         weight_milli: 1_000,
-        started_ms: FENCE,
+        started_ms: EXAMPLE_FENCE_UNIX_MS,
     };
     Change {
         topic: Topic::workers_of(ZoneId(zone)),
@@ -70,30 +70,31 @@
     }
 }
 
-/// What one change more takes in a page.
-fn each(change: impl Fn(u64) -> Change) -> f64 {
-    bytes(page((0..2).map(|n| change(40_000 + n)).collect())) - bytes(page(vec![change(40_000)]))
+/// Bytes that each additional change takes in a page.
+fn bytes_per_change(change: impl Fn(u64) -> Change) -> f64 {
+    encoded_bytes(page((0..2).map(|n| change(40_000 + n)).collect()))
+        - encoded_bytes(page(vec![change(40_000)]))
 }
 
-/// A worker's record.
+/// Bytes of a worker's record in a page.
 pub fn worker_bytes() -> f64 {
-    each(worker)
+    bytes_per_change(worker)
 }
 
-/// The record of a class whose text is so long.
+/// Bytes of the record of a class whose text has `length` bytes.
 pub fn class_bytes(length: f64) -> f64 {
-    each(|n| class(n, length))
+    bytes_per_change(|n| class(n, length))
 }
 
-/// A page without changes.
+/// Bytes of a page without changes.
 pub fn empty_page_bytes() -> f64 {
-    bytes(page(vec![]))
+    encoded_bytes(page(vec![]))
 }
 
-/// A child's heartbeat.
+/// Bytes of a child's heartbeat.
 pub fn report_bytes() -> f64 {
-    let version = Version { fence: FENCE, sequence: LATE };
-    bytes(DistributionMessage::Report(ChildReport {
+    let version = Version { fence: EXAMPLE_FENCE_UNIX_MS, sequence: SEQUENCE_AFTER_A_YEAR };
+    encoded_bytes(DistributionMessage::Report(ChildReport {
         interest: Interest::All,
         version,
         digest: u64::MAX / 5,
@@ -101,33 +102,33 @@
     }))
 }
 
-/// So many bytes of changes in full pages, heads included.
-pub fn paged(bytes: f64) -> f64 {
-    bytes * (1.0 + empty_page_bytes() / page_room())
+/// Bytes on the wire of this many bytes of changes in full pages, including page headers.
+pub fn with_page_headers(bytes: f64) -> f64 {
+    bytes * (1.0 + empty_page_bytes() / page_capacity_bytes())
 }
 
-/// Bytes of changes that one page or batch holds.
-pub fn page_room() -> f64 {
+/// Capacity of one page or batch, in bytes of changes.
+pub fn page_capacity_bytes() -> f64 {
     distribution::PAGE_BYTES as f64
 }
 
-/// Changes of workers that fit into one batch.
-pub fn workers_a_batch() -> f64 {
-    (page_room() / worker_bytes()).floor()
+/// Number of worker changes that fit into one batch.
+pub fn workers_per_batch() -> f64 {
+    (page_capacity_bytes() / worker_bytes()).floor()
 }
 
-/// A scheduler's word to the overload controller of what has come to it.
+/// Bytes of a datagram in which a scheduler reports its demand to the overload controller.
 pub fn demand_bytes() -> f64 {
     let demand = Demand { offered: [100, 11, 0, 0], served: 110, open: 22 };
-    let item =
+    let entry =
         GossipEntry { topic: GossipTopic::Process(17_999), update: GossipUpdate::Demand(demand), age_ms: 0 };
     let datagram = message::Datagram {
         from: process(),
         leases: vec![],
         swim: vec![],
         who: None,
-        gossip: vec![item],
+        gossip: vec![entry],
         distribution: vec![],
     };
-    message::write(FENCE, &datagram).len() as f64
+    message::write(EXAMPLE_FENCE_UNIX_MS, &datagram).len() as f64
 }
--- a/lab/src/capacity/estimate.rs
+++ b/lab/src/capacity/estimate.rs
@@ -1,92 +1,92 @@
-//! Figures that know what they rest on, and how they are shown.
+//! Figures with their provenance, and their formatting.
 
 use super::fit::Reading;
 use std::ops::{Add, Div, Mul, Sub};
 
-/// What a figure rests on, the weaker the later: a figure made of several has the weakest.
+/// Provenance of a figure, in order of decreasing confidence: a figure computed from several has the weakest of theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Basis {
-    /// Worked out from targets, assumptions and the shipped codec.
-    WorkedOut,
-    /// Measured at this very size.
+    /// Computed from targets, assumptions and the codec that the daemon uses.
+    Computed,
+    /// Measured at exactly this size.
     Measured,
-    /// Between sizes that were measured.
-    Between,
-    /// Beyond them, by a line or a curve.
-    Beyond,
-    /// The most of the sizes that were run, whichever the target is.
-    AsRun,
-    /// There is no run.
+    /// Interpolated between measured sizes.
+    Interpolated,
+    /// Extrapolated past the measured sizes, by a line or a power law.
+    Extrapolated,
+    /// The maximum over all sizes that were run, or the average of a measure without an axis, regardless of the target size.
+    AllSizes,
+    /// No run measures it.
     Missing,
 }
 
 impl Basis {
-    /// As it stands in tables.
+    /// The name used in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Basis::WorkedOut => "worked out",
+            Basis::Computed => "worked out",
             Basis::Measured => "measured",
-            Basis::Between => "between sizes",
-            Basis::Beyond => "beyond sizes",
-            Basis::AsRun => "most of the runs",
+            Basis::Interpolated => "between sizes",
+            Basis::Extrapolated => "beyond sizes",
+            Basis::AllSizes => "most of the runs",
             Basis::Missing => "not measured",
         }
     }
 }
 
-/// A figure and what it rests on. One that is missing is not a number, and so is all that is made of it.
+/// A figure and its provenance. A missing figure is NaN, and so is every figure computed from it.
 #[derive(Clone, Copy, Debug)]
 pub struct Estimate {
     /// The figure.
     pub value: f64,
-    /// What it rests on.
+    /// Its provenance.
     pub basis: Basis,
 }
 
 impl Estimate {
-    /// No run has given it.
+    /// A figure that no run has measured.
     pub const MISSING: Estimate = Estimate { value: f64::NAN, basis: Basis::Missing };
 
-    /// What a fit reads at a place.
-    pub fn read(reading: Reading) -> Estimate {
+    /// The figure of a reading of a fit.
+    pub fn from_reading(reading: Reading) -> Estimate {
         let (value, basis) = match reading {
             Reading::Measured(value) => (value, Basis::Measured),
-            Reading::Between(value) => (value, Basis::Between),
-            Reading::Beyond(value) => (value, Basis::Beyond),
+            Reading::Interpolated(value) => (value, Basis::Interpolated),
+            Reading::Extrapolated(value) => (value, Basis::Extrapolated),
             Reading::None => return Estimate::MISSING,
         };
         Estimate { value, basis }
     }
 
     /// Whether there is a figure.
-    pub fn stands(self) -> bool {
+    pub fn is_known(self) -> bool {
         self.value.is_finite()
     }
 
-    /// The figure with its unit; says so where there is none.
+    /// The figure with its unit, or `not measured`.
     pub fn show(self, unit: &str) -> String {
-        if self.stands() { with_unit(self.value, unit) } else { "not measured".to_owned() }
+        if self.is_known() { format_with_unit(self.value, unit) } else { "not measured".to_owned() }
     }
 
-    /// Of a budget: whether it holds, and by which factor not.
-    pub fn against(self, budget: f64) -> String {
+    /// Compares with a budget: whether the figure is within it, and by which factor it exceeds it otherwise.
+    pub fn against_budget(self, budget: f64) -> String {
         match self.value / budget {
-            part if !part.is_finite() => "not measured".to_owned(),
-            part if part <= 1.0 => format!("holds ({} of it)", percent(part)),
-            // Three digits would tell a narrow one as 1.
-            part if part < 1.01 => format!("**over {part:.4} times**"),
-            part => format!("**over {} times**", show(part)),
+            ratio if !ratio.is_finite() => "not measured".to_owned(),
+            ratio if ratio <= 1.0 => format!("holds ({} of it)", format_percent(ratio)),
+            // With three significant digits a small excess would be shown as 1.
+            ratio if ratio < 1.01 => format!("**over {ratio:.4} times**"),
+            ratio => format!("**over {} times**", format_figure(ratio)),
         }
     }
 
-    fn join(self, other: Estimate, value: f64) -> Estimate {
+    fn combine(self, other: Estimate, value: f64) -> Estimate {
         Estimate { value, basis: self.basis.max(other.basis) }
     }
 }
 
 impl From<f64> for Estimate {
     fn from(value: f64) -> Estimate {
-        Estimate { value, basis: Basis::WorkedOut }
+        Estimate { value, basis: Basis::Computed }
     }
 }
 
@@ -96,7 +96,7 @@
             type Output = Estimate;
             fn $method(self, other: T) -> Estimate {
                 let other = other.into();
-                self.join(other, self.value.$method(other.value))
+                self.combine(other, self.value.$method(other.value))
             }
         }
     )*};
@@ -109,8 +109,8 @@
     Div, div;
 }
 
-/// Three digits that count, thousands apart.
-pub fn show(value: f64) -> String {
+/// Formats a figure with three significant digits and thousands separators.
+pub fn format_figure(value: f64) -> String {
     if !value.is_finite() {
         return "none".to_owned();
     }
@@ -120,7 +120,7 @@
     let digits = 2 - value.abs().log10().floor() as i32;
     if digits <= 0 {
         let step = 10_f64.powi(-digits);
-        return thousands(((value / step).round() * step) as i64);
+        return with_separators(((value / step).round() * step) as i64);
     }
     if value.abs() < 1e-4 {
         return format!("{value:.2e}");
@@ -129,12 +129,12 @@
     if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_owned() } else { text }
 }
 
-/// A count without rounding.
-pub fn count(value: f64) -> String {
-    thousands(value.round() as i64)
+/// Formats a count as an integer with thousands separators.
+pub fn format_count(value: f64) -> String {
+    with_separators(value.round() as i64)
 }
 
-fn thousands(value: i64) -> String {
+fn with_separators(value: i64) -> String {
     let digits = value.unsigned_abs().to_string();
     let mut out = String::new();
     for (place, digit) in digits.chars().enumerate() {
@@ -146,29 +146,29 @@
     if value < 0 { format!("-{out}") } else { out }
 }
 
-fn percent(part: f64) -> String {
-    format!("{}%", show(part * 100.0))
+fn format_percent(ratio: f64) -> String {
+    format!("{}%", format_figure(ratio * 100.0))
 }
 
-/// Bytes and seconds in the unit that reads best, all others as they are.
-fn with_unit(value: f64, unit: &str) -> String {
-    let scaled = |steps: &[(f64, &str)], rest: &str| {
-        let step = steps.iter().find(|(least, _)| value.abs() >= *least);
+/// Formats a figure with its unit; bytes and seconds are scaled to a readable unit.
+fn format_with_unit(value: f64, unit: &str) -> String {
+    let scaled = |steps: &[(f64, &str)], base_unit: &str| {
+        let step = steps.iter().find(|(threshold, _)| value.abs() >= *threshold);
         match step {
-            Some((size, name)) => format!("{} {name}", show(value / size)),
-            None => format!("{} {rest}", show(value)),
+            Some((size, name)) => format!("{} {name}", format_figure(value / size)),
+            None => format!("{} {base_unit}", format_figure(value)),
         }
     };
     match unit {
         "B" => scaled(&[(1e9, "GB"), (1e6, "MB"), (1e3, "KB")], "B"),
         "B/s" => scaled(&[(1e9, "GB/s"), (1e6, "MB/s"), (1e3, "KB/s")], "B/s"),
-        "s" if value != 0.0 && value.abs() < 0.1 => format!("{} ms", show(value * 1e3)),
-        "s" if value >= 172_800.0 => format!("{} days", show(value / 86_400.0)),
-        "s" if value >= 7_200.0 => format!("{} h", show(value / 3_600.0)),
-        "s" if value >= 600.0 => format!("{} min", show(value / 60.0)),
-        "s" => format!("{} s", show(value)),
-        "%" => format!("{}%", show(value)),
-        "" => show(value),
-        _ => format!("{} {unit}", show(value)),
+        "s" if value != 0.0 && value.abs() < 0.1 => format!("{} ms", format_figure(value * 1e3)),
+        "s" if value >= 172_800.0 => format!("{} days", format_figure(value / 86_400.0)),
+        "s" if value >= 7_200.0 => format!("{} h", format_figure(value / 3_600.0)),
+        "s" if value >= 600.0 => format!("{} min", format_figure(value / 60.0)),
+        "s" => format!("{} s", format_figure(value)),
+        "%" => format!("{}%", format_figure(value)),
+        "" => format_figure(value),
+        _ => format!("{} {unit}", format_figure(value)),
     }
 }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,26 +1,27 @@
-//! Least squares over the points of a quantity along an axis, and what may be concluded from them.
+//! Least-squares fits of a quantity along an axis, and readings at other positions on it.
 
 use std::fmt;
 
-/// How much of the variance a line or a curve must explain to be taken for one.
-const STRAIGHT: f64 = 0.97;
-/// Growth over the measured range, as a part of the mean, below which a quantity is flat, and the most by which its values
-/// may differ then.
-const FLAT: (f64, f64) = (0.1, 0.3);
-/// A curve is one if what it leaves of the squared relative errors is less than this part of what a line leaves: half of
-/// the error. A square looks straight by r squared over many sizes, and is far off at the small ones.
-const CURVED: f64 = 0.25;
+/// Minimum share of the variance that a line or a power law must explain to be accepted.
+const MIN_R_SQUARED: f64 = 0.97;
+/// A quantity is flat if its growth over the measured range is at most the first ratio of its mean, and its values span
+/// at most the second.
+const MAX_FLAT_GROWTH_AND_RANGE: (f64, f64) = (0.1, 0.3);
+/// A power law is preferred to a line if its sum of squared relative errors is below this ratio of the line's, i.e. half
+/// the error. R squared alone does not tell them apart: over many sizes it is high for a line through a quadratic, which
+/// is far off at the small sizes.
+const MAX_CURVE_ERROR_RATIO: f64 = 0.25;
 
-/// What the points look like.
+/// The shape of the points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Shape {
-    /// It does not grow along the axis.
+    /// No growth along the axis.
     Flat,
-    /// It grows in proportion.
+    /// Linear growth.
     Line,
-    /// It grows by this power of the axis.
-    Curve(f64),
-    /// Neither: between the points one may read off, beyond them nothing is said.
+    /// Growth by this power of the axis.
+    PowerLaw(f64),
+    /// None of these: values are interpolated between the points, but never extrapolated.
     Scattered,
 }
 
@@ -29,130 +30,134 @@
         match self {
             Shape::Flat => f.write_str("flat"),
             Shape::Line => f.write_str("line"),
-            Shape::Curve(power) => write!(f, "curve, power {power:.2}"),
+            Shape::PowerLaw(power) => write!(f, "curve, power {power:.2}"),
             Shape::Scattered => f.write_str("neither line nor curve"),
         }
     }
 }
 
-/// Points, the line through them and how straight it is.
+/// Points, the line fitted to them and its quality.
 #[derive(Clone, Debug)]
 pub struct Fit {
-    /// By the axis; values at one place on it are averaged.
+    /// Sorted by position on the axis; values at the same position are averaged.
     pub points: Vec<(f64, f64)>,
-    /// Value at 0 of the line.
+    /// Value of the line at 0.
     pub intercept: f64,
-    /// Growth for each unit of the axis.
+    /// Growth per unit of the axis.
     pub slope: f64,
-    /// The part of the variance that the line explains.
+    /// Share of the variance that the line explains.
     pub r_squared: f64,
-    /// What the points look like.
+    /// The shape of the points.
     pub shape: Shape,
-    /// Power and factor of the curve, where there is one.
+    /// Power and factor of the power law, if the shape is one.
     power: Option<(f64, f64)>,
 }
 
 /// A reading of a fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reading {
-    /// Measured at this place.
+    /// Measured at this position.
     Measured(f64),
-    /// Between the ends of what was measured.
-    Between(f64),
-    /// Beyond them, by the line or the curve.
-    Beyond(f64),
-    /// Nothing can be said.
+    /// Interpolated within the measured range.
+    Interpolated(f64),
+    /// Extrapolated past the measured range, by the line or the power law.
+    Extrapolated(f64),
+    /// Outside the measured range, and the shape does not allow extrapolation.
     None,
 }
 
-/// Intercept, slope and r squared; r squared is 1 where there is nothing to explain.
+/// Intercept, slope and r squared; r squared is 1 if the values have no variance.
 fn least_squares(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let of_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let of_y: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
-    let of_both: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-    if of_x == 0.0 {
+    let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let sum_yy: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
+    let sum_xy: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    if sum_xx == 0.0 {
         return (mean_y, 0.0, 0.0);
     }
-    let slope = of_both / of_x;
-    let r_squared = if of_y == 0.0 { 1.0 } else { of_both.powi(2) / (of_x * of_y) };
+    let slope = sum_xy / sum_xx;
+    let r_squared = if sum_yy == 0.0 { 1.0 } else { sum_xy.powi(2) / (sum_xx * sum_yy) };
     (mean_y - slope * mean_x, slope, r_squared)
 }
 
-/// One point for each place on the axis.
-fn averaged(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
+/// One point, the average, for each position on the axis.
+fn average_by_position(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mut sorted: Vec<(f64, f64)> = points.iter().copied().filter(|(x, y)| (x + y).is_finite()).collect();
     sorted.sort_by(|a, b| a.0.total_cmp(&b.0));
     let groups = sorted.chunk_by(|a, b| a.0 == b.0);
     groups.map(|group| (group[0].0, group.iter().map(|(_, y)| y).sum::<f64>() / group.len() as f64)).collect()
 }
 
-/// Squared relative errors of a fit.
-fn errors(points: &[(f64, f64)], fit: impl Fn(f64) -> f64) -> f64 {
+/// Sum of the squared relative errors of a fit.
+fn squared_relative_errors(points: &[(f64, f64)], fit: impl Fn(f64) -> f64) -> f64 {
     points.iter().map(|(x, y)| (fit(*x) / y - 1.0).powi(2)).sum()
 }
 
 fn is_flat(points: &[(f64, f64)], slope: f64) -> bool {
-    let range = |of: fn(&(f64, f64)) -> f64| {
+    let range = |coordinate: fn(&(f64, f64)) -> f64| {
         let (least, most) =
-            points.iter().map(of).fold((f64::MAX, f64::MIN), |(a, b), v| (a.min(v), b.max(v)));
+            points.iter().map(coordinate).fold((f64::MAX, f64::MIN), |(a, b), v| (a.min(v), b.max(v)));
         most - least
     };
     let mean = points.iter().map(|(_, y)| y).sum::<f64>() / points.len() as f64;
     let growth = slope * range(|(x, _)| *x);
-    growth.abs() <= FLAT.0 * mean.abs() && range(|(_, y)| *y) <= FLAT.1 * mean.abs()
+    growth.abs() <= MAX_FLAT_GROWTH_AND_RANGE.0 * mean.abs()
+        && range(|(_, y)| *y) <= MAX_FLAT_GROWTH_AND_RANGE.1 * mean.abs()
 }
 
 impl Fit {
-    /// Of at least one finite point.
-    pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
-        let places = averaged(points);
-        if places.is_empty() {
+    /// Fits the finite points; `None` if there are none.
+    pub fn from_points(points: &[(f64, f64)]) -> Option<Fit> {
+        let averaged = average_by_position(points);
+        if averaged.is_empty() {
             return None;
         }
-        // All points count, also several at one place: how far those lie apart is part of how straight it is.
+        // The fit uses all points, including several at one position: their spread counts in its quality.
         let all: Vec<(f64, f64)> = points.iter().copied().filter(|(x, y)| (x + y).is_finite()).collect();
         let (intercept, slope, r_squared) = least_squares(&all);
         let logs = all.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
         let logs = logs.then(|| all.iter().map(|(x, y)| (x.ln(), y.ln())).collect::<Vec<_>>());
-        let curve = logs.map(|logs| least_squares(&logs)).filter(|(.., r)| *r >= STRAIGHT);
+        let curve = logs.map(|logs| least_squares(&logs)).filter(|(.., r)| *r >= MIN_R_SQUARED);
         let curve = curve.map(|(factor, power, _)| (power, factor.exp()));
-        let by_line = errors(&all, |x| intercept + slope * x);
-        let curved =
-            curve.filter(|(power, factor)| errors(&all, |x| factor * x.powf(*power)) < CURVED * by_line);
-        let shape = match curved.or(curve.filter(|_| r_squared < STRAIGHT)) {
-            _ if places.len() < 3 => Shape::Scattered,
+        let line_errors = squared_relative_errors(&all, |x| intercept + slope * x);
+        let preferred_curve = curve.filter(|(power, factor)| {
+            squared_relative_errors(&all, |x| factor * x.powf(*power)) < MAX_CURVE_ERROR_RATIO * line_errors
+        });
+        let shape = match preferred_curve.or(curve.filter(|_| r_squared < MIN_R_SQUARED)) {
+            _ if averaged.len() < 3 => Shape::Scattered,
             _ if is_flat(&all, slope) => Shape::Flat,
-            Some((power, _)) => Shape::Curve(power),
-            None if r_squared >= STRAIGHT => Shape::Line,
+            Some((power, _)) => Shape::PowerLaw(power),
+            None if r_squared >= MIN_R_SQUARED => Shape::Line,
             None => Shape::Scattered,
         };
-        let power = curve.filter(|_| matches!(shape, Shape::Curve(_)));
-        Some(Fit { points: places, intercept, slope, r_squared, shape, power })
+        let power = curve.filter(|_| matches!(shape, Shape::PowerLaw(_)));
+        Some(Fit { points: averaged, intercept, slope, r_squared, shape, power })
     }
 
-    /// The value at a place on the axis. A curve is never taken for a line.
-    pub fn at(&self, x: f64) -> Reading {
+    /// The value at a position on the axis. A power law is never extrapolated as a line.
+    pub fn value_at(&self, x: f64) -> Reading {
         let (first, last) = (self.points[0].0, self.points[self.points.len() - 1].0);
-        if let Some((_, y)) = self.points.iter().find(|(place, _)| *place == x) {
+        if let Some((_, y)) = self.points.iter().find(|(position, _)| *position == x) {
             return Reading::Measured(*y);
         }
         if (first..=last).contains(&x) {
-            return Reading::Between(self.between(x));
+            return Reading::Interpolated(self.interpolate(x));
         }
         match (self.shape, self.power) {
-            (Shape::Flat, _) => Reading::Beyond(self.points.iter().map(|(_, y)| *y).fold(f64::MIN, f64::max)),
-            (Shape::Line, _) => Reading::Beyond((self.intercept + self.slope * x).max(0.0)),
-            (Shape::Curve(_), Some((power, factor))) => Reading::Beyond(factor * x.powf(power)),
+            (Shape::Flat, _) => {
+                Reading::Extrapolated(self.points.iter().map(|(_, y)| *y).fold(f64::MIN, f64::max))
+            }
+            (Shape::Line, _) => Reading::Extrapolated((self.intercept + self.slope * x).max(0.0)),
+            (Shape::PowerLaw(_), Some((power, factor))) => Reading::Extrapolated(factor * x.powf(power)),
             _ => Reading::None,
         }
     }
 
-    /// By the straight piece between the two points beside it.
-    fn between(&self, x: f64) -> f64 {
-        let after = self.points.iter().position(|(place, _)| *place > x).unwrap_or(1).max(1);
+    /// Linear interpolation between the two neighbouring points.
+    fn interpolate(&self, x: f64) -> f64 {
+        let after = self.points.iter().position(|(position, _)| *position > x).unwrap_or(1).max(1);
         let (left, right) = (self.points[after - 1], self.points[after]);
         left.1 + (right.1 - left.1) * (x - left.0) / (right.0 - left.0)
     }
--- a/lab/src/capacity/mechanisms.rs
+++ b/lab/src/capacity/mechanisms.rs
@@ -1,120 +1,120 @@
-//! Which mechanism was missing first: candidates by their factor over budget, before and after.
+//! Ranking of mechanisms: candidates by the factor by which they exceeded their budget, before and after.
 
-use super::estimate::{Estimate, show};
+use super::estimate::{Estimate, format_figure};
 use super::grid::Grid;
-use super::model::{DAY, Model};
+use super::model::{Model, SECONDS_PER_DAY};
 use super::roles;
 
-/// A candidate, judged by one quantity.
+/// A mechanism and the quantity by which it is ranked.
 struct Candidate {
     name: &'static str,
-    by: &'static str,
+    metric: &'static str,
     unit: &'static str,
     budget: f64,
     before: Estimate,
     after: Estimate,
-    makes: &'static str,
+    enables: &'static str,
 }
 
 impl Candidate {
     fn factor(&self) -> f64 {
-        // What was not measured comes last.
+        // Candidates without a measurement come last.
         Some((self.before / self.budget).value).filter(|factor| factor.is_finite()).unwrap_or(-1.0)
     }
 }
 
 fn candidates(model: &Model) -> Vec<Candidate> {
     let (workers, region) = (model.workers(), model.workers_of_region());
-    let rate = model.target("changes_a_day") / DAY;
+    let rate = model.target("changes_a_day") / SECONDS_PER_DAY;
     let (bytes, cpu) = (model.byte_budget(), model.target("control_cpu_percent"));
     let memory = model.target("control_memory_mb");
     let kept = model.functions_in_window();
-    let list = "a change costs what it is, not the list";
-    let cells = "state and work by the region, not the fleet";
-    let order = "rare functions at any list";
-    let of = |name, by, unit, budget, before, after, makes| Candidate {
+    let incremental_changes = "a change costs what it is, not the list";
+    let regional_state = "state and work by the region, not the fleet";
+    let rare_functions = "rare functions at any list";
+    let candidate = |name, metric, unit, budget, before, after, enables| Candidate {
         name,
-        by,
+        metric,
         unit,
         budget,
         before,
         after,
-        makes,
+        enables,
     };
     vec![
-        of(
+        candidate(
             "distribution of list and settings",
             "bytes a second for changes, list of the fleet",
             "B/s",
             bytes,
             model.measured("before_change_bytes", workers) * rate,
             roles::scheduler_bytes(model),
-            list,
+            incremental_changes,
         ),
-        of(
+        candidate(
             "distribution of list and settings",
             "processor for changes, list of the fleet",
             "%",
             cpu,
             model.measured("before_change_seconds", workers) * rate * 100.0,
             model.measured("cpu_changes", workers),
-            list,
+            incremental_changes,
         ),
-        of(
+        candidate(
             "distribution of list and settings",
             "longest standstill",
             "ms",
             model.target("still_ms"),
             model.measured("before_still_ms", workers),
             model.measured("still_ms", workers),
-            list,
+            incremental_changes,
         ),
-        of(
+        candidate(
             "module's order by function",
             "memory of functions in the window",
             "MB",
             memory,
             model.measured("before_function_bytes", workers) * kept / 1e6,
             model.measured("function_bytes", workers) * kept / 1e6,
-            order,
+            rare_functions,
         ),
-        of(
+        candidate(
             "module's order by function",
             "processor of first calls, one a call",
             "%",
             cpu,
             model.measured("before_first_call_ms", workers) * model.calls_of_scheduler() / 10.0,
             model.measured("first_call_ms", workers) * model.calls_of_scheduler() / 10.0,
-            order,
+            rare_functions,
         ),
-        of(
+        candidate(
             "module's order by function",
             "standstill for one look at holds, one gold function on its way",
             "ms",
             model.target("still_ms"),
             model.measured("before_gold_walk_ms", workers),
             model.measured("gold_walk_ms", workers),
-            order,
+            rare_functions,
         ),
-        of(
+        candidate(
             "cells: a part of the fleet for each scheduler",
             "idle processor",
             "%",
             cpu,
             model.measured("before_cpu", workers),
             model.measured("cpu", region),
-            cells,
+            regional_state,
         ),
-        of(
+        candidate(
             "cells: a part of the fleet for each scheduler",
             "memory of the list",
             "MB",
             memory,
             model.measured("before_memory_mb", workers),
             model.measured("memory_mb", region),
-            cells,
+            regional_state,
         ),
-        of(
+        candidate(
             "membership beyond its indices",
             "members against indices",
             "",
@@ -126,7 +126,7 @@
     ]
 }
 
-/// The ranking.
+/// The ranking, with the largest factor over budget first.
 pub fn ranking(model: &Model) -> String {
     let mut all = candidates(model);
     all.sort_by(|a, b| b.factor().total_cmp(&a.factor()));
@@ -141,18 +141,18 @@
         "makes possible",
     ]);
     let times = |value: Estimate, budget: f64| {
-        if value.stands() { show((value / budget).value) } else { "not measured".to_owned() }
+        if value.is_known() { format_figure((value / budget).value) } else { "not measured".to_owned() }
     };
-    for each in all {
+    for candidate in all {
         grid.push(&[
-            each.name.to_owned(),
-            each.by.to_owned(),
-            Estimate::from(each.budget).show(each.unit),
-            each.before.show(each.unit),
-            times(each.before, each.budget),
-            each.after.show(each.unit),
-            times(each.after, each.budget),
-            each.makes.to_owned(),
+            candidate.name.to_owned(),
+            candidate.metric.to_owned(),
+            Estimate::from(candidate.budget).show(candidate.unit),
+            candidate.before.show(candidate.unit),
+            times(candidate.before, candidate.budget),
+            candidate.after.show(candidate.unit),
+            times(candidate.after, candidate.budget),
+            candidate.enables.to_owned(),
         ]);
     }
     grid.text()
--- a/lab/src/capacity/model.rs
+++ b/lab/src/capacity/model.rs
@@ -1,4 +1,4 @@
-//! The fleet of the targets, and what was measured, as tables ask for them.
+//! The figures that tables look up: sizes of the target fleet, and measured quantities.
 
 use super::data::{Data, Measure};
 use super::estimate::{Basis, Estimate};
@@ -6,23 +6,23 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds of a day.
-pub const DAY: f64 = 86_400.0;
+/// Seconds per day.
+pub const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// The data with every measure fitted.
 pub struct Model<'a> {
-    /// What it was made from.
+    /// The data from which it is built.
     pub data: &'a Data,
-    /// The fits, by the measures' names.
+    /// The fits by name of the measure.
     pub fits: BTreeMap<&'a str, (&'a Measure, Fit)>,
-    /// Names that tables have asked for: what nobody asks for is a mistake.
-    asked: RefCell<BTreeSet<String>>,
-    /// Targets and assumptions that tables have asked for and the data lack.
-    lacking: RefCell<BTreeSet<String>>,
+    /// Measures that tables have looked up; an unused one is an error.
+    used_measures: RefCell<BTreeSet<String>>,
+    /// Errors for targets and assumptions that tables have looked up and that the data does not contain.
+    missing_inputs: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> Model<'a> {
-    /// Fits every measure; says all that is wrong with them otherwise.
+    /// Fits every measure; returns all errors if any fails.
     pub fn new(data: &'a Data) -> Result<Model<'a>, Vec<String>> {
         let (mut fits, mut wrong) = (BTreeMap::new(), vec![]);
         for measure in &data.measures {
@@ -34,75 +34,77 @@
         if !wrong.is_empty() {
             return Err(wrong);
         }
-        Ok(Model { data, fits, asked: RefCell::default(), lacking: RefCell::default() })
+        Ok(Model { data, fits, used_measures: RefCell::default(), missing_inputs: RefCell::default() })
     }
 
-    fn given(&self, kind: &str, name: &str, value: f64) -> f64 {
+    fn check_present(&self, kind: &str, name: &str, value: f64) -> f64 {
         if value.is_nan() {
-            self.lacking.borrow_mut().insert(format!("{kind} `{name}` is missing"));
+            self.missing_inputs.borrow_mut().insert(format!("{kind} `{name}` is missing"));
         }
         value
     }
 
     /// A target.
     pub fn target(&self, name: &str) -> f64 {
-        self.given("target", name, self.data.target(name))
+        self.check_present("target", name, self.data.target(name))
     }
 
     /// An assumption.
     pub fn assumed(&self, name: &str) -> f64 {
-        self.given("assumption", name, self.data.assumption(name))
+        self.check_present("assumption", name, self.data.assumption(name))
     }
 
-    /// A measured quantity at a place on its axis; missing where no run gives it, and as it is where it has no axis.
-    pub fn measured(&self, name: &str, at: f64) -> Estimate {
-        self.asked.borrow_mut().insert(name.to_owned());
+    /// A measured quantity at a position on its axis, or its average if it has no axis; missing if no run measures it.
+    pub fn measured(&self, name: &str, position: f64) -> Estimate {
+        self.used_measures.borrow_mut().insert(name.to_owned());
         match self.fits.get(name) {
             Some((measure, fit)) if measure.along.is_none() => {
-                Estimate { value: fit.points[0].1, basis: Basis::AsRun }
+                Estimate { value: fit.points[0].1, basis: Basis::AllSizes }
             }
-            Some((_, fit)) => Estimate::read(fit.at(at)),
+            Some((_, fit)) => Estimate::from_reading(fit.value_at(position)),
             None => Estimate::MISSING,
         }
     }
 
-    /// The most of a measured quantity at any size that was run: for what neither grows with the fleet nor follows a line.
-    pub fn most(&self, name: &str) -> Estimate {
-        let most = |(_, fit): &(&Measure, Fit)| fit.points.iter().map(|(_, y)| *y).fold(f64::MIN, f64::max);
-        let most = self.points(name).map(most);
-        most.map_or(Estimate::MISSING, |value| Estimate { value, basis: Basis::AsRun })
+    /// The maximum of a measured quantity over all sizes that were run, for quantities that neither grow with the fleet nor
+    /// follow a line.
+    pub fn maximum(&self, name: &str) -> Estimate {
+        let maximum =
+            |(_, fit): &(&Measure, Fit)| fit.points.iter().map(|(_, y)| *y).fold(f64::MIN, f64::max);
+        let maximum = self.measure_and_fit(name).map(maximum);
+        maximum.map_or(Estimate::MISSING, |value| Estimate { value, basis: Basis::AllSizes })
     }
 
-    /// The points of a measured quantity, where there is one.
-    pub fn points(&self, name: &str) -> Option<&(&'a Measure, Fit)> {
-        self.asked.borrow_mut().insert(name.to_owned());
+    /// A measure and its fit, if there is one.
+    pub fn measure_and_fit(&self, name: &str) -> Option<&(&'a Measure, Fit)> {
+        self.used_measures.borrow_mut().insert(name.to_owned());
         self.fits.get(name)
     }
 
-    /// How much a measured quantity grows for each unit of its axis; missing where it is no line.
-    pub fn growth(&self, name: &str) -> Estimate {
-        self.asked.borrow_mut().insert(name.to_owned());
+    /// Growth of a measured quantity per unit of its axis; missing if its shape is neither a line nor flat.
+    pub fn slope_of(&self, name: &str) -> Estimate {
+        self.used_measures.borrow_mut().insert(name.to_owned());
         let fit = self.fits.get(name).map(|(_, fit)| fit);
         let line = fit.filter(|fit| matches!(fit.shape, Shape::Line | Shape::Flat));
         line.map_or(Estimate::MISSING, |fit| Estimate { value: fit.slope, basis: Basis::Measured })
     }
 
-    /// What tables have asked for in vain, and measures that none has asked for.
-    pub fn mistakes(&self) -> Vec<String> {
-        let asked = self.asked.borrow();
-        let idle = self.fits.keys().filter(|name| !asked.contains(**name));
-        let idle = idle.map(|name| format!("table `slopes`: measure `{name}` is used by no table"));
-        self.lacking.borrow().iter().cloned().chain(idle).collect()
+    /// Errors for lookups of missing targets and assumptions, and for measures that no table uses.
+    pub fn input_errors(&self) -> Vec<String> {
+        let used_measures = self.used_measures.borrow();
+        let unused = self.fits.keys().filter(|name| !used_measures.contains(**name));
+        let unused = unused.map(|name| format!("table `slopes`: measure `{name}` is used by no table"));
+        self.missing_inputs.borrow().iter().cloned().chain(unused).collect()
     }
 
-    // ---- The fleet of the targets
+    // ---- The target fleet
 
     /// Workers of the whole fleet.
     pub fn workers(&self) -> f64 {
         self.target("instances") / self.assumed("instances_a_worker")
     }
 
-    /// Workers of one region: those that a scheduler knows.
+    /// Workers of one region, which are those on a scheduler's list.
     pub fn workers_of_region(&self) -> f64 {
         self.workers() / self.target("regions")
     }
@@ -122,7 +124,7 @@
         self.target("schedulers") / self.assumed("zones_in_all")
     }
 
-    /// Calls a second at one scheduler.
+    /// Calls per second at one scheduler.
     pub fn calls_of_scheduler(&self) -> f64 {
         self.target("calls_a_second") / self.target("schedulers")
     }
@@ -133,7 +135,7 @@
         self.target("functions") * share.min(1.0)
     }
 
-    /// Functions of which a scheduler has had a call in the module's window, at most.
+    /// Upper bound of the functions that a scheduler has had calls for within the module's window.
     pub fn functions_in_window(&self) -> f64 {
         (self.calls_of_scheduler() * self.assumed("window_seconds")).min(self.functions_of_region())
     }
@@ -143,37 +145,37 @@
         self.workers() + self.target("schedulers") + self.target("control_machines")
     }
 
-    /// Workers that are restarted or replaced in a second.
+    /// Workers restarted or replaced per second.
     pub fn worker_restarts(&self) -> f64 {
-        self.target("restarts_a_day") * self.workers() / self.machines() / DAY
+        self.target("restarts_a_day") * self.workers() / self.machines() / SECONDS_PER_DAY
     }
 
-    /// Schedulers that are restarted or replaced in a second.
+    /// Schedulers restarted or replaced per second.
     pub fn scheduler_restarts(&self) -> f64 {
-        self.target("restarts_a_day") * self.target("schedulers") / self.machines() / DAY
+        self.target("restarts_a_day") * self.target("schedulers") / self.machines() / SECONDS_PER_DAY
     }
 
-    /// Changes of configuration a second that a scheduler hears.
+    /// Configuration changes per second that a scheduler receives.
     pub fn settings_changes(&self) -> f64 {
-        self.target("changes_a_day") / DAY * self.assumed("part_of_changes_for_all")
+        self.target("changes_a_day") / SECONDS_PER_DAY * self.assumed("part_of_changes_for_all")
     }
 
-    /// Changes of its region's list a second that a scheduler hears.
+    /// Changes of its region's list per second that a scheduler receives.
     pub fn list_changes(&self) -> f64 {
         self.worker_restarts() / self.target("regions") * self.assumed("changes_a_restart")
     }
 
-    /// Schedulers that a control process of a region serves while the other one of its two is gone.
+    /// Schedulers that a control process of a region serves while the other one of the pair is down.
     pub fn children_alone(&self) -> f64 {
         self.schedulers_of_region()
     }
 
-    /// Schedulers that it serves while both are up.
+    /// Schedulers that a control process of a region serves while both are up.
     pub fn children(&self) -> f64 {
         self.schedulers_of_region() / self.assumed("control_machines_a_region")
     }
 
-    /// The budget of bytes a second of one scheduler.
+    /// A scheduler's budget for control traffic, in bytes per second.
     pub fn byte_budget(&self) -> f64 {
         self.target("control_kb_a_second") * 1e3
     }
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -1,119 +1,121 @@
-//! The page: prose by hand round tables between markers, which are written and compared.
+//! The page: hand-written prose around tables between markers, which are generated and compared.
 
 use std::collections::BTreeSet;
 
-/// A table as it stands on the page: its name and its lines, each with its line break.
+/// A table: its name, and its lines on the page, each with its line break.
 pub type Table = (&'static str, String);
 
-fn start(name: &str) -> String {
+fn start_marker(name: &str) -> String {
     format!("<!-- table {name} -->\n")
 }
 
-fn end(name: &str) -> String {
+fn end_marker(name: &str) -> String {
     format!("<!-- end {name} -->")
 }
 
-/// Where the lines of a table lie on the page.
-fn place(page: &str, name: &str) -> Result<std::ops::Range<usize>, String> {
-    let (opening, closing) = (start(name), end(name));
+/// The byte range of a table's lines on the page.
+fn table_range(page: &str, name: &str) -> Result<std::ops::Range<usize>, String> {
+    let (opening, closing) = (start_marker(name), end_marker(name));
     if page.matches(&opening).count() != 1 || page.matches(&closing).count() != 1 {
         return Err(format!(
-            "table `{name}`: its markers `{}` and `{closing}` must stand once each",
+            "table `{name}`: its markers `{}` and `{closing}` must each appear exactly once",
             opening.trim()
         ));
     }
     let from = page.find(&opening).unwrap_or(0) + opening.len();
     match page[from..].find(&closing) {
         Some(length) => Ok(from..from + length),
-        None => Err(format!("table `{name}`: its end comes before its beginning")),
+        None => Err(format!("table `{name}`: its end marker precedes its start marker")),
     }
 }
 
-/// Markers on the page that no table has.
-fn strangers(page: &str, tables: &[Table]) -> Vec<String> {
+/// Errors for markers on the page that belong to no table.
+fn unknown_markers(page: &str, tables: &[Table]) -> Vec<String> {
     let marked =
         page.lines().filter_map(|line| line.trim().strip_prefix("<!-- table ")?.strip_suffix(" -->"));
     let unknown = marked.filter(|name| !tables.iter().any(|(known, _)| known == name));
-    unknown.map(|name| format!("table `{name}`: the page has it, `lab capacity` does not")).collect()
+    unknown
+        .map(|name| format!("table `{name}`: it is on the page, but `lab capacity` does not generate it"))
+        .collect()
 }
 
-/// The page with these tables in their places; all that is wrong with its markers otherwise.
+/// The page with these tables between their markers; all errors in the markers otherwise.
 pub fn write(page: &str, tables: &[Table]) -> Result<String, Vec<String>> {
-    let mut wrong = strangers(page, tables);
+    let mut errors = unknown_markers(page, tables);
     let mut written = page.to_owned();
     for (name, lines) in tables {
-        match place(&written, name) {
+        match table_range(&written, name) {
             Ok(range) => written.replace_range(range, lines),
-            Err(why) => wrong.push(why),
+            Err(why) => errors.push(why),
         }
     }
-    if wrong.is_empty() { Ok(written) } else { Err(wrong) }
+    if errors.is_empty() { Ok(written) } else { Err(errors) }
 }
 
-/// All that differs between the page and the tables.
+/// All differences between the page and the tables.
 pub fn differences(page: &str, tables: &[Table]) -> Vec<String> {
-    let mut wrong = strangers(page, tables);
+    let mut errors = unknown_markers(page, tables);
     for (name, lines) in tables {
-        match place(page, name) {
+        match table_range(page, name) {
             Ok(range) if page[range.clone()] == *lines => {}
-            Ok(range) => wrong.push(difference(name, &page[range], lines)),
-            Err(why) => wrong.push(why),
+            Ok(range) => errors.push(difference(name, &page[range], lines)),
+            Err(why) => errors.push(why),
         }
     }
-    wrong
+    errors
 }
 
 fn difference(name: &str, page: &str, derived: &str) -> String {
-    let mut ours = derived.lines();
-    let mut theirs = page.lines();
+    let mut derived_lines = derived.lines();
+    let mut page_lines = page.lines();
     loop {
-        match (theirs.next(), ours.next()) {
+        match (page_lines.next(), derived_lines.next()) {
             (Some(page), Some(derived)) if page == derived => {}
             (page, derived) => {
-                let show = |line: Option<&str>| line.unwrap_or("(no line)").to_owned();
+                let text = |line: Option<&str>| line.unwrap_or("(no line)").to_owned();
                 return format!(
                     "table `{name}`: page and data differ\n  page: {}\n  data: {}",
-                    show(page),
-                    show(derived)
+                    text(page),
+                    text(derived)
                 );
             }
         }
     }
 }
 
-/// Figures in the prose that are not among those allowed. Tables, code and links have their own.
-pub fn loose_figures(page: &str, allowed: &BTreeSet<String>) -> Vec<String> {
-    let mut inside = false;
-    let mut wrong = vec![];
+/// Errors for figures in the prose that are not allowed there. Tables, headings and code are skipped.
+pub fn unsourced_figures(page: &str, allowed: &BTreeSet<String>) -> Vec<String> {
+    let mut in_table = false;
+    let mut errors = vec![];
     for (number, line) in page.lines().enumerate() {
         let trimmed = line.trim();
         if trimmed.starts_with("<!-- table ") || trimmed.starts_with("<!-- end ") {
-            inside = trimmed.starts_with("<!-- table ");
+            in_table = trimmed.starts_with("<!-- table ");
             continue;
         }
-        if inside || trimmed.starts_with('#') || trimmed.starts_with("    ") {
+        if in_table || trimmed.starts_with('#') || trimmed.starts_with("    ") {
             continue;
         }
         let prose: String = line.split('`').step_by(2).collect::<Vec<_>>().join(" ");
-        let loose = figures(&prose).into_iter().filter(|figure| !allowed.contains(figure));
-        wrong.extend(loose.map(|figure| {
-            format!("prose, line {}: `{figure}` is neither target nor assumption", number + 1)
+        let unsourced = figures(&prose).into_iter().filter(|figure| !allowed.contains(figure));
+        errors.extend(unsourced.map(|figure| {
+            format!("prose, line {}: `{figure}` is neither a target nor an assumption", number + 1)
         }));
     }
-    wrong
+    errors
 }
 
-/// The figures of a text, without separators of thousands; not the numbers of sections and issues.
+/// The figures in a text, without thousands separators; numbers of sections and issues are left out.
 fn figures(text: &str) -> Vec<String> {
     let mut found = vec![];
-    let mut before = "";
+    let mut previous_word = "";
     for word in text.split(|c: char| c.is_whitespace() || "()[]/;:".contains(c)) {
         let figure = word.trim_matches(|c: char| !c.is_ascii_digit());
-        let numbered = ["section", "sections", "issue"].contains(&before.to_lowercase().as_str());
-        if figure.starts_with(|c: char| c.is_ascii_digit()) && !numbered {
+        let is_reference = ["section", "sections", "issue"].contains(&previous_word.to_lowercase().as_str());
+        if figure.starts_with(|c: char| c.is_ascii_digit()) && !is_reference {
             found.push(figure.replace(',', ""));
         }
-        before = word;
+        previous_word = word;
     }
     found
 }
--- a/lab/src/capacity/roles.rs
+++ b/lab/src/capacity/roles.rs
@@ -1,7 +1,7 @@
-//! What each role holds, says and spends on the median day, against its budget.
+//! Memory, traffic and processor time of each role on the median day, against its budget.
 
 use super::codec;
-use super::estimate::{Estimate, count, show};
+use super::estimate::{Estimate, format_count, format_figure};
 use super::grid::Grid;
 use super::model::Model;
 
@@ -18,17 +18,24 @@
     let (regions, zones) = (model.target("regions"), model.assumed("zones_in_all"));
     let restarts = model.worker_restarts() * model.assumed("changes_a_restart");
     let settings = model.settings_changes();
-    let of = |what: &str, schedulers: f64, workers: f64, functions: f64, calls: f64, changes: f64| {
-        [what.to_owned(), count(schedulers), count(workers), count(functions), count(calls), show(changes)]
+    let row = |what: &str, schedulers: f64, workers: f64, functions: f64, calls: f64, changes: f64| {
+        [
+            what.to_owned(),
+            format_count(schedulers),
+            format_count(workers),
+            format_count(functions),
+            format_count(calls),
+            format_figure(changes),
+        ]
     };
     let calls = model.target("calls_a_second");
     let (all, workers) = (model.target("schedulers"), model.workers());
     let region_changes = settings + restarts / regions;
-    grid.push(&of("whole fleet", all, workers, model.target("functions"), calls, settings + restarts));
+    grid.push(&row("whole fleet", all, workers, model.target("functions"), calls, settings + restarts));
     let functions = model.functions_of_region();
-    grid.push(&of("region", all / regions, workers / regions, functions, calls / regions, region_changes));
-    grid.push(&of("zone", all / zones, workers / zones, functions, calls / zones, region_changes));
-    grid.push(&of(
+    grid.push(&row("region", all / regions, workers / regions, functions, calls / regions, region_changes));
+    grid.push(&row("zone", all / zones, workers / zones, functions, calls / zones, region_changes));
+    grid.push(&row(
         "scheduler",
         1.0,
         workers / regions,
@@ -39,16 +46,16 @@
     grid.text()
 }
 
-/// Which fleets and domains a scheduler belongs to, and their sizes against what the program bears.
+/// Fleets and domains that a scheduler may belong to, and their sizes against the program's limits.
 pub fn places(model: &Model) -> String {
     let mut grid = Grid::new(&["of which it is a part", "how large", "bound in the program", "holds"]);
-    let mut row = |what: &str, large: f64, bound: &str| {
-        let most = model.target(bound);
+    let mut row = |what: &str, size: f64, bound: &str| {
+        let limit = model.target(bound);
         grid.push(&[
             what.to_owned(),
-            count(large),
-            format!("{} (`{bound}`)", count(most)),
-            Estimate::from(large).against(most),
+            format_count(size),
+            format!("{} (`{bound}`)", format_count(limit)),
+            Estimate::from(size).against_budget(limit),
         ]);
     };
     let all = model.target("schedulers");
@@ -72,8 +79,8 @@
     grid.text()
 }
 
-/// A row of the roles' table.
-struct Line<'a> {
+/// A row of the table of roles; a budget of NaN means that none is specified.
+struct RoleFigure<'a> {
     role: &'a str,
     what: &'a str,
     value: Estimate,
@@ -82,74 +89,81 @@
     by: &'a str,
 }
 
-fn lines(of: Vec<Line>) -> String {
+fn render(figures: Vec<RoleFigure>) -> String {
     let mut grid =
         Grid::new(&["role", "what", "at the target size", "budget", "holds", "from", "carried by"]);
-    for line in of {
-        let has = line.budget.is_finite();
-        let budget = if has { Estimate::from(line.budget).show(line.unit) } else { "none named".to_owned() };
-        let holds = if has { line.value.against(line.budget) } else { String::new() };
+    for figure in figures {
+        let has_budget = figure.budget.is_finite();
+        let budget = if has_budget {
+            Estimate::from(figure.budget).show(figure.unit)
+        } else {
+            "none named".to_owned()
+        };
+        let holds = if has_budget { figure.value.against_budget(figure.budget) } else { String::new() };
         grid.push(&[
-            line.role.to_owned(),
-            line.what.to_owned(),
-            line.value.show(line.unit),
+            figure.role.to_owned(),
+            figure.what.to_owned(),
+            figure.value.show(figure.unit),
             budget,
             holds,
-            line.value.basis.name().to_owned(),
-            line.by.to_owned(),
+            figure.value.basis.name().to_owned(),
+            figure.by.to_owned(),
         ]);
     }
     grid.text()
 }
 
-/// Bytes that a scheduler sends and receives a second on the median day for two domains.
+/// Bytes per second that a scheduler sends and receives for two domains on the median day.
 pub fn scheduler_bytes(model: &Model) -> Estimate {
-    // The measured domain carries all changes; the other one is idle beside it.
+    // The measured domain carries all changes; the second one is idle.
     let domain = model.measured("bytes", model.target("schedulers"));
-    domain + idle_domain()
+    domain + idle_domain_bytes()
 }
 
-/// Heartbeats of a domain with nothing to tell, both ways.
-pub fn idle_domain() -> f64 {
-    HEARTBEATS * (codec::report_bytes() + codec::empty_page_bytes())
+/// Bytes per second of the heartbeats of a domain without changes, in both directions.
+pub fn idle_domain_bytes() -> f64 {
+    HEARTBEATS_PER_SECOND * (codec::report_bytes() + codec::empty_page_bytes())
 }
 
-/// A child's heartbeats a second.
-pub const HEARTBEATS: f64 = 2.0;
+/// Heartbeats per second of a child.
+pub const HEARTBEATS_PER_SECOND: f64 = 2.0;
 
-/// Bytes of a scheduler's own copy of what it follows, as they come over the wire.
+/// Bytes on the wire of a full copy of the state that a scheduler subscribes to.
 pub fn state_bytes(model: &Model) -> f64 {
     let settings = model.assumed("settings_records") * codec::class_bytes(model.assumed("class_bytes"));
-    codec::paged(model.workers_of_region() * codec::worker_bytes() + settings)
+    codec::with_page_headers(model.workers_of_region() * codec::worker_bytes() + settings)
 }
 
-/// Bytes a second at whoever holds the overload controller's lease in a fleet of one region.
+/// Bytes per second at the holder of the overload controller's lease in a fleet of one region.
 pub fn controller_bytes(model: &Model) -> f64 {
-    let told = model.schedulers_of_region() * DEMANDS * codec::demand_bytes();
-    told + model.schedulers_of_region().min(model.target("told_at_once")) * DEMANDS * codec::demand_bytes()
+    let received = model.schedulers_of_region() * DEMAND_REPORTS_PER_SECOND * codec::demand_bytes();
+    received
+        + model.schedulers_of_region().min(model.target("told_at_once"))
+            * DEMAND_REPORTS_PER_SECOND
+            * codec::demand_bytes()
 }
 
-/// Words of demand a second from each member; gossip goes out as often.
-const DEMANDS: f64 = 4.0;
-/// Members that gossip is told to each time.
-const TOLD: f64 = 2.0;
+/// Demand reports per second of each member; gossip is sent at the same rate.
+const DEMAND_REPORTS_PER_SECOND: f64 = 4.0;
+/// Members that each round of gossip is sent to.
+const GOSSIP_FANOUT: f64 = 2.0;
 
-/// Bytes of gossip that a member sends and receives a second where no datagram has room left, as with `shed` in a fleet of
-/// a region's size: a word of each member is told on and on.
-fn gossip_most(model: &Model) -> f64 {
-    2.0 * DEMANDS * TOLD * model.target("datagram_bytes")
+/// Bytes of gossip per second that a member sends and receives if every datagram is full, as with `shed` in a fleet of a
+/// region's size, where the demand of each member is passed on continuously.
+fn max_gossip_bytes(model: &Model) -> f64 {
+    2.0 * DEMAND_REPORTS_PER_SECOND * GOSSIP_FANOUT * model.target("datagram_bytes")
 }
 
-/// The scheduler's table.
+/// The table of a scheduler.
 pub fn scheduler(model: &Model) -> String {
     let (all, workers, region) = (model.target("schedulers"), model.workers(), model.workers_of_region());
     let memory = model.target("control_memory_mb");
     let cpu = model.target("control_cpu_percent");
     let bytes = model.byte_budget();
     let functions = model.measured("function_bytes", workers) * model.functions_in_window() / 1e6;
-    let mut of = vec![];
+    let mut figures = vec![];
     let mut push = |by, what, value: Estimate, unit, budget| {
-        of.push(Line { role: "scheduler", what, value, unit, budget, by });
+        figures.push(RoleFigure { role: "scheduler", what, value, unit, budget, by });
     };
     let by = "distribution";
     push(by, "state: list of its region and settings, on the wire", state_bytes(model).into(), "B", f64::NAN);
@@ -180,11 +194,11 @@
     let first = model.target("first_call_ms");
     push(by, "first call of a function", model.measured("first_call_ms", workers), "ms", first);
     let by = "fleet of members by regions";
-    push(by, "bytes a second of membership, leases, gossip", model.most("members_bytes"), "B/s", bytes);
-    push(by, "the same of real processes", model.most("members_real_bytes"), "B/s", bytes);
-    push(by, "the same at most, every datagram of gossip full", gossip_most(model).into(), "B/s", bytes);
-    push(by, "processor of membership, leases, gossip", model.most("members_cpu"), "%", cpu);
-    push(by, "memory of membership", model.most("members_memory_mb"), "MB", memory);
+    push(by, "bytes a second of membership, leases, gossip", model.maximum("members_bytes"), "B/s", bytes);
+    push(by, "the same of real processes", model.maximum("members_real_bytes"), "B/s", bytes);
+    push(by, "the same at most, every datagram of gossip full", max_gossip_bytes(model).into(), "B/s", bytes);
+    push(by, "processor of membership, leases, gossip", model.maximum("members_cpu"), "%", cpu);
+    push(by, "memory of membership", model.maximum("members_memory_mb"), "MB", memory);
     push(
         "none yet",
         "who holds the overload controller: bytes a second",
@@ -192,73 +206,99 @@
         "B/s",
         bytes,
     );
-    lines(of)
+    render(figures)
 }
 
-/// The control machines' and the plug-in's table.
+/// The table of the control machines and the plug-in.
 pub fn control(model: &Model) -> String {
     let (children, alone) = (model.children(), model.children_alone());
-    let (bandwidth, core) =
+    let (bandwidth, cpu_budget) =
         (model.assumed("control_machine_bytes"), model.assumed("control_machine_cpu_percent"));
     let memory = model.assumed("control_machine_mb");
-    let mut all = vec![];
+    let mut figures = vec![];
     let serves = "relay, or replica that serves children";
     for (what, name, at, unit, budget) in [
         ("bytes a second, both of a region up", "relay_bytes", children, "B/s", bandwidth),
         ("bytes a second, alone", "relay_bytes", alone, "B/s", bandwidth),
         ("messages a second, alone", "relay_messages", alone, "1/s", f64::NAN),
-        ("processor, alone", "relay_cpu", alone, "%", core),
+        ("processor, alone", "relay_cpu", alone, "%", cpu_budget),
         ("memory, list of the fleet", "relay_memory_mb", model.workers(), "MB", memory),
     ] {
         let value = model.measured(name, at);
-        all.push(Line { role: serves, what, value, unit, budget, by: "distribution" });
+        figures.push(RoleFigure { role: serves, what, value, unit, budget, by: "distribution" });
     }
     for (what, name, unit, budget) in
-        [("bytes a second", "replica_bytes", "B/s", bandwidth), ("processor", "replica_cpu", "%", core)]
+        [("bytes a second", "replica_bytes", "B/s", bandwidth), ("processor", "replica_cpu", "%", cpu_budget)]
     {
-        let value = model.most(name);
-        all.push(Line { role: "replica with relays only", what, value, unit, budget, by: "distribution" });
+        let value = model.maximum(name);
+        figures.push(RoleFigure {
+            role: "replica with relays only",
+            what,
+            value,
+            unit,
+            budget,
+            by: "distribution",
+        });
     }
     for (what, name, unit, budget) in [
         ("bytes a second", "elector_bytes", "B/s", bandwidth),
         ("messages a second", "elector_messages", "1/s", f64::NAN),
-        ("processor", "elector_cpu", "%", core),
+        ("processor", "elector_cpu", "%", cpu_budget),
     ] {
-        let value = model.most(name);
-        all.push(Line { role: "elector", what, value, unit, budget, by: "fleet of members by regions" });
+        let value = model.maximum(name);
+        figures.push(RoleFigure {
+            role: "elector",
+            what,
+            value,
+            unit,
+            budget,
+            by: "fleet of members by regions",
+        });
     }
-    // One machine alone in its region: it serves all its schedulers in both domains, and is an elector.
+    // A machine that is alone in its region serves all of the region's schedulers in both domains, and is an elector.
     for (what, name, elector, unit, budget) in [
         ("bytes a second of all, alone", "relay_bytes", "elector_bytes", "B/s", bandwidth),
-        ("processor of all, alone", "relay_cpu", "elector_cpu", "%", core),
+        ("processor of all, alone", "relay_cpu", "elector_cpu", "%", cpu_budget),
     ] {
-        let value = model.measured(name, alone) * 2.0 + model.most(elector);
-        all.push(Line { role: "control machine", what, value, unit, budget, by: "all" });
+        let value = model.measured(name, alone) * 2.0 + model.maximum(elector);
+        figures.push(RoleFigure { role: "control machine", what, value, unit, budget, by: "all" });
     }
     let workers = model.workers();
     let functions = model.measured("function_bytes", workers) * model.functions_in_window() / 1e6;
     let first = model.target("first_call_ms");
-    let walk = model.measured("walk_ms", workers) * WALKS / 10.0;
+    let hold_checks_cpu = model.measured("walk_ms", workers) * HOLD_CHECKS_PER_SECOND / 10.0;
     for (what, value, unit, budget) in [
         ("memory of functions, calls as a scheduler's", functions, "MB", model.target("control_memory_mb")),
         ("first call of a function", model.measured("first_call_ms", workers), "ms", first),
-        ("processor of the module alone, no calls", walk, "%", model.target("control_cpu_percent")),
+        (
+            "processor of the module alone, no calls",
+            hold_checks_cpu,
+            "%",
+            model.target("control_cpu_percent"),
+        ),
     ] {
-        all.push(Line { role: "plug-in", what, value, unit, budget, by: "module's order by function" });
+        figures.push(RoleFigure {
+            role: "plug-in",
+            what,
+            value,
+            unit,
+            budget,
+            by: "module's order by function",
+        });
     }
-    lines(all)
+    render(figures)
 }
 
-/// Times a second that the module looks at its holds (`walk_ms` is of one of them), in calls of 200 ms.
-const WALKS: f64 = 5.0;
+/// Checks of its holds per second by the module, one in each call of 200 ms (`walk_ms` is the time of one check).
+const HOLD_CHECKS_PER_SECOND: f64 = 5.0;
 
-/// Which control process stands on which machine, in the two layouts.
+/// Placement of the control processes on machines, in the two layouts.
 pub fn machines(model: &Model) -> String {
     let (regions, each) = (model.target("regions"), model.assumed("control_machines_a_region"));
     let (global, all) = (model.assumed("global_replicas"), model.target("control_machines"));
     let mut grid = Grid::new(&["layout", "machines", "how many", "what runs there", "children each"]);
-    let mut row = |layout: &str, what: &str, many: f64, runs: &str, children: String| {
-        grid.push(&[layout.to_owned(), what.to_owned(), count(many), runs.to_owned(), children]);
+    let mut row = |layout: &str, what: &str, count: f64, runs: &str, children: String| {
+        grid.push(&[layout.to_owned(), what.to_owned(), format_count(count), runs.to_owned(), children]);
     };
     let relays = all - global;
     let one = "one domain, interest by zones";
@@ -271,16 +311,18 @@
     );
     let (up, down) =
         (model.target("schedulers") / relays, model.target("schedulers") / (relays - (all / 4.0).floor()));
-    let children = format!("{}; {} with a quarter of the machines gone", count(up), count(down));
+    let children =
+        format!("{}; {} with a quarter of the machines gone", format_count(up), format_count(down));
     row(one, "over all zones", relays, "a relay with the whole list", children);
-    let many = "a domain a region";
+    let regional = "a domain a region";
     let runs =
         "a replica of the region's domain, a relay of the global one, an elector of the region's fleet";
-    let children = format!("{}; {} alone", count(model.children()), count(model.children_alone()));
-    row(many, "in each region, in different zones", regions * each, runs, children);
+    let children =
+        format!("{}; {} alone", format_count(model.children()), format_count(model.children_alone()));
+    row(regional, "in each region, in different zones", regions * each, runs, children);
     let runs = "a replica of the global domain; the third replica and elector of two other regions";
-    row(many, "in as many regions, one each", global, runs, String::new());
+    row(regional, "in as many regions, one each", global, runs, String::new());
     let runs = "takes the place of one that fails, by the operator";
-    row(many, "spare", all - regions * each - global, runs, String::new());
+    row(regional, "spare", all - regions * each - global, runs, String::new());
     grid.text()
 }
--- a/lab/src/chains.rs
+++ b/lab/src/chains.rs
@@ -1,4 +1,4 @@
-//! Chains of a build check, a checker run and the record of credit, played three ways.
+//! Simulates chains of a build check, a checker run and a credit submission, submitted in three ways.
 
 use crate::fleet::{INSTANCE_KEEP_ALIVE, Job, Worker};
 use mintgate::chain::estimate::{Estimates, PlannedStep};
@@ -10,25 +10,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-const WORKERS: u64 = 6;
-/// The time wanted for a chain, which is that of its credit step.
-const WANTED: Duration = Duration::millis(1_500);
-/// How long a client waits for all of it.
-const ALLOW: Duration = Duration::millis(3_000);
-const START: Timestamp = Timestamp(1_000_000_000_000);
-/// Mean work of the three steps, in milliseconds.
-const WORK: [f64; 3] = [120.0, 250.0, 80.0];
-const CLASSES: [&str; 3] = ["practice-check", "practice-check", "credit-submit"];
+const WORKER_COUNT: u64 = 6;
+/// Latency objective of a chain, which is that of its credit step.
+const LATENCY_OBJECTIVE: Duration = Duration::millis(1_500);
+/// How long a client waits for the whole chain.
+const CLIENT_TIMEOUT: Duration = Duration::millis(3_000);
+const START_TIME: Timestamp = Timestamp(1_000_000_000_000);
+/// Mean execution time of the three steps, in milliseconds.
+const MEAN_WORK_MS: [f64; 3] = [120.0, 250.0, 80.0];
+const STEP_CLASSES: [&str; 3] = ["practice-check", "practice-check", "credit-submit"];
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Submission {
     Chain,
     Separate,
-    NoLoads,
+    ChainWithoutLoadTimes,
 }
 
-/// A chain as drawn: the same for all ways.
-struct Plan {
+/// A randomly generated chain, the same for all ways of submitting it.
+struct ChainPlan {
     at: Timestamp,
     functions: [FunctionId; 3],
     load: [Duration; 3],
@@ -39,17 +39,19 @@
     (rng.next_u32() as f64 + 0.5) / (u32::MAX as f64 + 1.0)
 }
 
-/// Few functions are called often, and a checker in the middle may be rare.
-fn plans(count: usize, rate: f64, seed: u64) -> Vec<Plan> {
+/// Generates chains with Poisson arrivals. The first and last step use a few frequently called functions; that of the
+/// checker in the middle may be rare.
+fn generate_plans(count: usize, rate: f64, seed: u64) -> Vec<ChainPlan> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut at = START;
+    let mut at = START_TIME;
     let mut plan = || {
         at = at + Duration((-uniform(&mut rng).ln() / rate * 1e9) as u64);
         let rare = (uniform(&mut rng).powi(3) * 120.0) as u64;
         let functions = [1 + rare % 8, 100 + rare, 300 + rare % 8].map(FunctionId);
         let load = [300, 350 + rare * 5, 300].map(Duration::millis);
-        let work = WORK.map(|mean| Duration((mean * (0.4 - 0.6 * uniform(&mut rng).ln()) * 1e6) as u64));
-        Plan { at, functions, load, work }
+        let work =
+            MEAN_WORK_MS.map(|mean| Duration((mean * (0.4 - 0.6 * uniform(&mut rng).ln()) * 1e6) as u64));
+        ChainPlan { at, functions, load, work }
     };
     (0..count).map(|_| plan()).collect()
 }
@@ -57,60 +59,63 @@
 #[derive(Default)]
 struct Tally {
     answers: Vec<u32>,
-    earned: usize,
+    within_objective: usize,
     late: usize,
     stopped: usize,
     unserved: usize,
-    started: usize,
-    vain: usize,
+    steps_started: usize,
+    wasted_steps: usize,
     attempts: usize,
-    credit_twice: usize,
-    /// What steps took beyond their estimates, in milliseconds.
-    off: Vec<f64>,
+    repeated_credits: usize,
+    /// Actual minus estimated latency of each step, in milliseconds.
+    estimate_errors_ms: Vec<f64>,
 }
 
-struct Play<'a> {
-    plans: &'a [Plan],
-    way: Way,
+struct Simulation<'a> {
+    plans: &'a [ChainPlan],
+    submission: Submission,
     core: Core,
     workers: BTreeMap<WorkerId, Worker>,
-    ends: BTreeSet<(Timestamp, u64)>,
+    job_ends: BTreeSet<(Timestamp, u64)>,
     jobs: BTreeMap<u64, (WorkerId, Job)>,
     next: u64,
-    /// Steps served of each chain, when the one that runs was started, and what it was estimated at.
-    ran: Vec<usize>,
-    begun: Vec<(Timestamp, Duration)>,
+    /// Served steps of each chain.
+    served_steps: Vec<usize>,
+    /// Start of each chain's latest step, and its estimated latency.
+    step_started: Vec<(Timestamp, Duration)>,
     steps: Vec<BTreeSet<usize>>,
-    credits: Vec<u32>,
+    credit_attempts: Vec<u32>,
     estimates: Estimates,
     tally: Tally,
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     fn step(&self, chain: usize, at: usize) -> Step {
         let plan = &self.plans[chain];
         Step {
-            class: CLASSES[at].to_owned(),
+            class: STEP_CLASSES[at].to_owned(),
             function: plan.functions[at],
             memory_mb: 300.0,
             concurrency: 4.0,
-            load_time: (self.way != Way::NoLoads).then_some(plan.load[at]),
+            load_time: (self.submission != Submission::ChainWithoutLoadTimes).then_some(plan.load[at]),
             body: (at == 0).then(|| vec![0; 8]),
         }
     }
 
-    fn begin(&mut self, now: Timestamp, chain: usize) {
+    fn submit_chain(&mut self, now: Timestamp, chain: usize) {
         let owner = Owner { connection: 1, stream: chain as u64 };
-        if self.way == Way::Separate {
-            return self.call(now, chain, 0);
+        if self.submission == Submission::Separate {
+            return self.submit_step(now, chain, 0);
         }
         let steps = (0..3).map(|at| self.step(chain, at)).collect();
-        self.core
-            .chain(now, Chain { owner, key: Some(format!("{chain:032x}")), deadline: now + ALLOW, steps });
+        self.core.chain(
+            now,
+            Chain { owner, key: Some(format!("{chain:032x}")), deadline: now + CLIENT_TIMEOUT, steps },
+        );
     }
 
-    /// A step as a call of its own, with an allowance of its own.
-    fn call(&mut self, now: Timestamp, chain: usize, at: usize) {
+    /// Submits a step as a separate request with its own deadline.
+    fn submit_step(&mut self, now: Timestamp, chain: usize, at: usize) {
         let Step { class, function, memory_mb, concurrency, load_time, .. } = self.step(chain, at);
         let name = (chain * 3 + at) as u64;
         self.core.submit(
@@ -124,51 +129,55 @@
                 memory_mb,
                 concurrency,
                 load_time,
-                deadline: now + ALLOW,
+                deadline: now + CLIENT_TIMEOUT,
                 body: vec![0; 8],
             },
         );
     }
 
-    /// Which chain and step an attempt belongs to, from its key.
-    fn place(key: &Option<String>) -> (usize, usize) {
-        let (chain, step) = key.as_deref().and_then(|key| key.split_once('.')).expect("each step has a key");
-        (usize::from_str_radix(chain, 16).expect("hex"), step.parse().expect("a number"))
+    /// The chain and step that an attempt belongs to, from its key.
+    fn chain_and_step(key: &Option<String>) -> (usize, usize) {
+        let (chain, step) =
+            key.as_deref().and_then(|key| key.split_once('.')).expect("each step's key is CHAIN.STEP");
+        (
+            usize::from_str_radix(chain, 16).expect("the chain's number is hexadecimal"),
+            step.parse().expect("the step is a number"),
+        )
     }
 
-    fn carry_out(&mut self, now: Timestamp) {
+    fn execute_commands(&mut self, now: Timestamp) {
         while let Some(command) = self.core.next_command() {
             match command {
                 Command::Send { attempt, worker, work, .. } => {
-                    let (chain, at) = Play::place(&work.key);
+                    let (chain, at) = Simulation::chain_and_step(&work.key);
                     self.core.written(now, attempt);
                     self.tally.attempts += 1;
                     if self.steps[chain].insert(at) {
-                        self.tally.started += 1;
+                        self.tally.steps_started += 1;
                         let Step { function, load_time, .. } = self.step(chain, at);
-                        let ahead = PlannedStep {
+                        let planned = PlannedStep {
                             function,
-                            class: CLASSES[at],
-                            latency_objective: WANTED,
+                            class: STEP_CLASSES[at],
+                            latency_objective: LATENCY_OBJECTIVE,
                             load_time,
                         };
-                        let need = self.estimates.need(now, &ahead, INSTANCE_KEEP_ALIVE);
-                        self.begun[chain] = (now, Duration(need.load.0 + need.run.0));
+                        let need = self.estimates.need(now, &planned, INSTANCE_KEEP_ALIVE);
+                        self.step_started[chain] = (now, Duration(need.load.0 + need.run.0));
                     }
                     let plan = &self.plans[chain];
                     let job =
                         Job { attempt, function: work.function, work: plan.work[at], load: plan.load[at] };
                     let runs = self.workers.entry(worker).or_default().accept(now, job);
-                    runs.into_iter().for_each(|(end, job)| self.ends_at(end, worker, job));
-                    self.credits[chain] += u32::from(at == 2);
+                    runs.into_iter().for_each(|(end, job)| self.schedule_end(end, worker, job));
+                    self.credit_attempts[chain] += u32::from(at == 2);
                 }
                 Command::Cancel { attempt, worker } => self.workers.entry(worker).or_default().abort(attempt),
                 Command::Load { load, worker, function, .. } => {
                     if self.core.may_write_load(now, load) {
                         let load_time = Duration::millis(500);
                         self.workers.entry(worker).or_default().load(now, function, load_time);
-                        let standing = LoadResult { status: Status::Ok, instances: 1 };
-                        self.core.load_ended(now, load, Ok(standing));
+                        let result = LoadResult { status: Status::Ok, instances: 1 };
+                        self.core.load_ended(now, load, Ok(result));
                     } else {
                         self.core.load_not_sent(now, load);
                     }
@@ -177,19 +186,19 @@
                 Command::Answer { owner, answer } => {
                     let chain = owner.stream as usize;
                     let served = matches!(answer.verdict, Verdict::Served(_));
-                    self.served(now, chain, served);
-                    match (served, self.ran[chain]) {
-                        (true, 1 | 2) => self.call(now, chain, self.ran[chain]),
-                        _ => self.over(now, chain, served, false),
+                    self.record_step(now, chain, served);
+                    match (served, self.served_steps[chain]) {
+                        (true, 1 | 2) => self.submit_step(now, chain, self.served_steps[chain]),
+                        _ => self.finish_chain(now, chain, served, false),
                     }
                 }
                 Command::Chain { owner, end } => {
                     let served = matches!(end.answer.verdict, Verdict::Served(_));
                     let chain = owner.stream as usize;
-                    while self.ran[chain] < end.ran {
-                        self.served(now, chain, true);
+                    while self.served_steps[chain] < end.ran {
+                        self.record_step(now, chain, true);
                     }
-                    self.over(now, chain, served, end.short.is_some());
+                    self.finish_chain(now, chain, served, end.short.is_some());
                 }
                 Command::Unload { .. }
                 | Command::Renew { .. }
@@ -199,121 +208,139 @@
         }
     }
 
-    fn ends_at(&mut self, end: Timestamp, worker: WorkerId, job: Job) {
+    fn schedule_end(&mut self, end: Timestamp, worker: WorkerId, job: Job) {
         self.next += 1;
-        self.ends.insert((end, self.next));
+        self.job_ends.insert((end, self.next));
         self.jobs.insert(self.next, (worker, job));
     }
 
-    fn served(&mut self, now: Timestamp, chain: usize, served: bool) {
-        let at = self.ran[chain];
+    fn record_step(&mut self, now: Timestamp, chain: usize, served: bool) {
+        let at = self.served_steps[chain];
         if served && at < 3 {
-            let (begun, need) = self.begun[chain];
-            self.estimates.record_latency(now, self.plans[chain].functions[at], CLASSES[at], now - begun);
-            self.tally.off.push(((now - begun).0 as f64 - need.0 as f64) / 1e6);
-            self.ran[chain] += 1;
+            let (step_started, need) = self.step_started[chain];
+            self.estimates.record_latency(
+                now,
+                self.plans[chain].functions[at],
+                STEP_CLASSES[at],
+                now - step_started,
+            );
+            self.tally.estimate_errors_ms.push(((now - step_started).0 as f64 - need.0 as f64) / 1e6);
+            self.served_steps[chain] += 1;
         }
     }
 
-    fn over(&mut self, now: Timestamp, chain: usize, served: bool, stopped: bool) {
+    fn finish_chain(&mut self, now: Timestamp, chain: usize, served: bool, stopped: bool) {
         self.tally.answers[chain] += 1;
-        let earned = served && now - self.plans[chain].at <= WANTED;
-        self.tally.earned += usize::from(earned);
-        self.tally.late += usize::from(served && !earned);
+        let within_objective = served && now - self.plans[chain].at <= LATENCY_OBJECTIVE;
+        self.tally.within_objective += usize::from(within_objective);
+        self.tally.late += usize::from(served && !within_objective);
         self.tally.stopped += usize::from(stopped);
         self.tally.unserved += usize::from(!served && !stopped);
-        self.tally.vain += if earned { 0 } else { self.steps[chain].len() };
+        self.tally.wasted_steps += if within_objective { 0 } else { self.steps[chain].len() };
     }
 
     fn run(mut self) -> Tally {
         let member = |n| Member { worker: WorkerId(n), weight: 1.0, ..Member::default() };
-        self.core.members(START, ListKind::Full, (1..=WORKERS).map(member).collect());
-        self.carry_out(START);
+        self.core.members(START_TIME, ListKind::Full, (1..=WORKER_COUNT).map(member).collect());
+        self.execute_commands(START_TIME);
         let mut chain = 0;
         loop {
             let arrival = self.plans.get(chain).map(|plan| plan.at);
-            let end = self.ends.first().copied();
-            let due = self.core.next_timeout().filter(|_| arrival.is_some() || self.core.outstanding() > 0);
-            let next = arrival.into_iter().chain(end.map(|(at, _)| at)).chain(due).min();
+            let end = self.job_ends.first().copied();
+            let timeout =
+                self.core.next_timeout().filter(|_| arrival.is_some() || self.core.outstanding() > 0);
+            let next = arrival.into_iter().chain(end.map(|(at, _)| at)).chain(timeout).min();
             let Some(now) = next else { break };
             if arrival == Some(now) {
-                self.begin(now, chain);
+                self.submit_chain(now, chain);
                 chain += 1;
             } else if let Some((_, number)) = end.filter(|(at, _)| *at == now) {
-                self.ends.pop_first();
-                let (worker, job) = self.jobs.remove(&number).expect("it runs");
+                self.job_ends.pop_first();
+                let (worker, job) = self.jobs.remove(&number).expect("a running job ends once");
                 let next = self.workers.entry(worker).or_default().finish(now);
-                next.into_iter().for_each(|(end, job)| self.ends_at(end, worker, job));
+                next.into_iter().for_each(|(end, job)| self.schedule_end(end, worker, job));
                 self.core.attempt_ended(now, job.attempt, Ok(Reply::Ok(vec![0; 8])));
             } else {
                 self.core.on_timeout(now);
             }
-            self.carry_out(now);
+            self.execute_commands(now);
         }
-        self.tally.credit_twice = self.credits.iter().filter(|sent| **sent > 1).count();
+        self.tally.repeated_credits = self.credit_attempts.iter().filter(|sent| **sent > 1).count();
         self.tally
     }
 }
 
-fn play(plans: &[Plan], way: Way, seed: u64) -> Tally {
-    let site = format!(
+fn simulate(plans: &[ChainPlan], submission: Submission, seed: u64) -> Tally {
+    let settings_text = format!(
         r#"{{"fleetSize": 1, "index": 0, "tickNs": 2000000, "classes": [
-        {{"name": "practice-check", "deadlineNs": {allow}, "effect": "retryable", "objectiveNs": {wanted}}},
-        {{"name": "credit-submit", "deadlineNs": {allow}, "effect": "dedup", "group": "all", "worth": 5,
-          "repeatWindowNs": 6000000000, "objectiveNs": {wanted}}}],
+        {{"name": "practice-check", "deadlineNs": {timeout}, "effect": "retryable", "objectiveNs": {objective}}},
+        {{"name": "credit-submit", "deadlineNs": {timeout}, "effect": "dedup", "group": "all", "worth": 5,
+          "repeatWindowNs": 6000000000, "objectiveNs": {objective}}}],
         "bounds": {{"mostTries": 3, "mayCancel": true, "probes": true, "retryAfter": true, "maxRetryAfterNs": 500000000}},
         "contract": {{"coldFrom": 0.2, "coldNs": 9000000000, "fallMultiple": 3, "fallNs": 2000000000}},
         "familyInfo": {{"keepNs": {keep}, "notLoaded": "load", "mayOrder": true, "memoryMbByKind": [18000],
           "loadSpanNs": 5000000000, "loadsAnyway": 3, "loadPart": 0.3}}}}"#,
-        allow = ALLOW.0,
-        wanted = WANTED.0,
+        timeout = CLIENT_TIMEOUT.0,
+        objective = LATENCY_OBJECTIVE.0,
         keep = INSTANCE_KEEP_ALIVE.0,
     );
-    let site = settings::read_site(site.as_bytes()).expect("the settings above");
+    let settings = settings::read_site(settings_text.as_bytes()).expect("the settings above are valid");
     let count = plans.len();
-    Play {
+    Simulation {
         plans,
-        way,
-        core: Core::new(site, seed),
+        submission,
+        core: Core::new(settings, seed),
         workers: BTreeMap::new(),
-        ends: BTreeSet::new(),
+        job_ends: BTreeSet::new(),
         jobs: BTreeMap::new(),
         next: 0,
-        ran: vec![0; count],
-        begun: vec![(START, Duration(0)); count],
+        served_steps: vec![0; count],
+        step_started: vec![(START_TIME, Duration(0)); count],
         steps: vec![BTreeSet::new(); count],
-        credits: vec![0; count],
+        credit_attempts: vec![0; count],
         estimates: Estimates::default(),
         tally: Tally { answers: vec![0; count], ..Tally::default() },
     }
     .run()
 }
 
-/// One table: a row for each load and way.
+/// A table with one row for each arrival rate and way of submitting.
 pub fn report(chains: usize, seed: u64, rates: &[f64]) -> String {
-    let mut out =
-        format!("{chains} chains a row, seed {seed}, wanted within {} ms\n\n", WANTED.0 / 1_000_000);
+    let mut out = format!(
+        "{chains} chains a row, seed {seed}, wanted within {} ms\n\n",
+        LATENCY_OBJECTIVE.0 / 1_000_000
+    );
     out += "| chains/s | way | answers each | earned | late | stopped | unserved | steps in vain | extra attempts | credit twice | off p10 | p50 | p90 ms |\n";
     out += "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     for rate in rates {
-        let plans = plans(chains, *rate, seed);
-        for (way, name) in [(Way::Chain, "chain"), (Way::Separate, "separate"), (Way::NoLoads, "no loads")] {
-            let mut t = play(&plans, way, seed);
-            t.off.sort_by(f64::total_cmp);
-            let quantile =
-                |q: f64| t.off.get(((t.off.len().max(1) - 1) as f64 * q) as usize).copied().unwrap_or(0.0);
-            let part = |n: usize| format!("{:.1}%", 100.0 * n as f64 / chains as f64);
-            let (least, most) = (t.answers.iter().min().unwrap_or(&0), t.answers.iter().max().unwrap_or(&0));
+        let plans = generate_plans(chains, *rate, seed);
+        for (submission, name) in [
+            (Submission::Chain, "chain"),
+            (Submission::Separate, "separate"),
+            (Submission::ChainWithoutLoadTimes, "no loads"),
+        ] {
+            let mut tally = simulate(&plans, submission, seed);
+            tally.estimate_errors_ms.sort_by(f64::total_cmp);
+            let quantile = |q: f64| {
+                tally
+                    .estimate_errors_ms
+                    .get(((tally.estimate_errors_ms.len().max(1) - 1) as f64 * q) as usize)
+                    .copied()
+                    .unwrap_or(0.0)
+            };
+            let percent = |n: usize| format!("{:.1}%", 100.0 * n as f64 / chains as f64);
+            let (min_answers, max_answers) =
+                (tally.answers.iter().min().unwrap_or(&0), tally.answers.iter().max().unwrap_or(&0));
             let _ = writeln!(
                 out,
-                "| {rate} | {name} | {least} to {most} | {} | {} | {} | {} | {:.1}% | {} | {} | {:.0} | {:.0} | {:.0} |",
-                part(t.earned),
-                part(t.late),
-                part(t.stopped),
-                part(t.unserved),
-                100.0 * t.vain as f64 / t.started.max(1) as f64,
-                t.attempts - t.started,
-                t.credit_twice,
+                "| {rate} | {name} | {min_answers} to {max_answers} | {} | {} | {} | {} | {:.1}% | {} | {} | {:.0} | {:.0} | {:.0} |",
+                percent(tally.within_objective),
+                percent(tally.late),
+                percent(tally.stopped),
+                percent(tally.unserved),
+                100.0 * tally.wasted_steps as f64 / tally.steps_started.max(1) as f64,
+                tally.attempts - tally.steps_started,
+                tally.repeated_credits,
                 quantile(0.1),
                 quantile(0.5),
                 quantile(0.9),
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page agrees with its data, and the check finds what does not. No timing.
+//! The capacity page agrees with its data, and the check reports every disagreement. Independent of timing.
 
 #![allow(
     clippy::unwrap_used,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A copy of page and data with one run and one measure more, both made up; it goes when it is dropped.
+/// A copy of page and data with an additional, made-up run and measure; deleted on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -45,7 +45,7 @@
             })
             .join(",");
         scratch.put("lab/capacity/runs/made-up.json", &run("lab scale made-up", "abc", &rows));
-        // In place of a measure that tables ask for, whether there are runs for it or not.
+        // Replaces a measure that tables use, so that the test does not depend on recorded runs.
         scratch.edit("lab/capacity/measures.toml", |text| {
             let others = text.split("[[measure]]").filter(|each| !each.contains("\"memory_mb\""));
             let others = others.collect::<Vec<_>>().join("[[measure]]");
@@ -68,12 +68,12 @@
     fn edit(&self, name: &str, edit: impl FnOnce(&str) -> String) {
         let text = self.text(name);
         let edited = edit(&text);
-        assert_ne!(text, edited, "{name} is as it was");
+        assert_ne!(text, edited, "the edit left {name} unchanged");
         self.put(name, &edited);
     }
 
-    /// The complaint of a check that must fail.
-    fn complaint(&self) -> String {
+    /// The error text of a check that must fail.
+    fn error_text(&self) -> String {
         capacity::check(&self.0).unwrap_err().join("\n")
     }
 }
@@ -89,16 +89,16 @@
 }
 
 #[test]
-fn page_and_data_of_the_repository_agree() {
-    if let Err(wrong) = capacity::check(&repository()) {
-        panic!("run `cargo run --release -p lab -- capacity`:\n{}", wrong.join("\n"));
+fn repository_page_and_data_agree() {
+    if let Err(errors) = capacity::check(&repository()) {
+        panic!("run `cargo run --release -p lab -- capacity`:\n{}", errors.join("\n"));
     }
 }
 
 #[test]
-fn what_is_written_passes_the_check_and_is_the_same_again() {
+fn written_page_passes_the_check_and_rewriting_is_idempotent() {
     let scratch = Scratch::new("written");
-    assert!(scratch.complaint().contains("table `scheduler`"), "{}", scratch.complaint());
+    assert!(scratch.error_text().contains("table `scheduler`"), "{}", scratch.error_text());
     capacity::write(&scratch.0).unwrap();
     capacity::check(&scratch.0).unwrap();
     let first = scratch.text("docs/CAPACITY.md");
@@ -111,49 +111,52 @@
 }
 
 #[test]
-fn a_changed_figure_is_found_and_its_table_named() {
+fn changed_figure_is_reported_with_its_table() {
     let scratch = Scratch::new("figure");
     capacity::write(&scratch.0).unwrap();
     scratch.edit("docs/CAPACITY.md", |page| page.replace("| 47 MB |", "| 46 MB |"));
-    let complaint = scratch.complaint();
-    assert!(complaint.contains("table `scheduler`: page and data differ"), "{complaint}");
-    assert!(complaint.contains("46 MB") && complaint.contains("47 MB"), "{complaint}");
+    let error_text = scratch.error_text();
+    assert!(error_text.contains("table `scheduler`: page and data differ"), "{error_text}");
+    assert!(error_text.contains("46 MB") && error_text.contains("47 MB"), "{error_text}");
 }
 
 #[test]
-fn a_changed_run_target_or_assumption_is_found() {
+fn changed_run_target_or_assumption_is_reported() {
     let scratch = Scratch::new("run");
     capacity::write(&scratch.0).unwrap();
     scratch.edit("lab/capacity/runs/made-up.json", |run| run.replace("47", "300"));
-    assert!(scratch.complaint().contains("table `scheduler`"));
+    assert!(scratch.error_text().contains("table `scheduler`"));
     capacity::write(&scratch.0).unwrap();
     assert!(scratch.text("docs/CAPACITY.md").contains("**over 1.17 times**"));
     let targets = scratch.text("lab/capacity/targets.toml");
     scratch.edit("lab/capacity/targets.toml", |text| text.replace("value = 18000", "value = 18001"));
-    let complaint = scratch.complaint();
-    assert!(complaint.contains("table `targets`") && complaint.contains("table `sizes`"), "{complaint}");
-    assert!(complaint.contains("`18000` is neither"), "the prose quotes it: {complaint}");
+    let error_text = scratch.error_text();
+    assert!(error_text.contains("table `targets`") && error_text.contains("table `sizes`"), "{error_text}");
+    assert!(
+        error_text.contains("`18000` is neither a target nor an assumption"),
+        "the prose quotes it: {error_text}"
+    );
     assert!(capacity::write(&scratch.0).is_err());
     scratch.put("lab/capacity/targets.toml", &targets);
     scratch.edit("lab/capacity/assumptions.toml", |text| text.replace("value = 600\n", "value = 601\n"));
-    let complaint = scratch.complaint();
+    let error_text = scratch.error_text();
     assert!(
-        complaint.contains("table `assumptions`") && complaint.contains("table `cold-starts`"),
-        "{complaint}"
+        error_text.contains("table `assumptions`") && error_text.contains("table `cold-starts`"),
+        "{error_text}"
     );
 }
 
 #[test]
-fn a_run_that_is_missing_or_lacks_its_head_is_found() {
+fn missing_run_or_missing_run_fields_are_reported() {
     let scratch = Scratch::new("missing");
     capacity::write(&scratch.0).unwrap();
     let file = "lab/capacity/runs/made-up.json";
     let good = scratch.text(file);
     std::fs::remove_file(scratch.0.join(file)).unwrap();
-    let complaint = scratch.complaint();
+    let error_text = scratch.error_text();
     assert!(
-        complaint.contains("table `slopes`") && complaint.contains("`made-up`, which is missing"),
-        "{complaint}"
+        error_text.contains("table `slopes`") && error_text.contains("`made-up`, which is missing"),
+        "{error_text}"
     );
     for (field, without) in [
         ("command", good.replace("lab scale made-up", " ")),
@@ -161,22 +164,22 @@
         ("rows", run("lab scale made-up", "abc", "")),
     ] {
         scratch.put(file, &without);
-        let complaint = scratch.complaint();
-        assert!(complaint.contains("table `runs`") && complaint.contains(field), "{complaint}");
+        let error_text = scratch.error_text();
+        assert!(error_text.contains("table `runs`") && error_text.contains(field), "{error_text}");
         assert!(capacity::write(&scratch.0).is_err());
     }
     scratch.put(file, &good.replace("made_up", "other"));
-    assert!(scratch.complaint().contains("no row of run `made-up` fits measure `memory_mb`"));
+    assert!(scratch.error_text().contains("no row of run `made-up` matches measure `memory_mb`"));
     scratch.put(file, &good);
     capacity::check(&scratch.0).unwrap();
 }
 
 #[test]
-fn markers_that_are_missing_doubled_or_unknown_are_found_and_nothing_is_written() {
+fn missing_duplicate_and_unknown_markers_are_reported_and_nothing_is_written() {
     let scratch = Scratch::new("markers");
     capacity::write(&scratch.0).unwrap();
     let good = scratch.text("docs/CAPACITY.md");
-    for (from, to, complaint) in [
+    for (from, to, error_text) in [
         ("<!-- table reach -->\n", "", "table `reach`"),
         ("<!-- end reach -->", "", "table `reach`"),
         (
@@ -193,26 +196,26 @@
         let page = good.replace(from, to);
         assert_ne!(page, good);
         scratch.put("docs/CAPACITY.md", &page);
-        assert!(scratch.complaint().contains(complaint), "{}", scratch.complaint());
+        assert!(scratch.error_text().contains(error_text), "{}", scratch.error_text());
         assert!(capacity::write(&scratch.0).is_err());
         assert_eq!(scratch.text("docs/CAPACITY.md"), page);
     }
 }
 
 #[test]
-fn a_figure_in_the_prose_must_be_a_target_or_an_assumption() {
+fn prose_figure_that_is_neither_target_nor_assumption_is_reported() {
     let scratch = Scratch::new("prose");
     capacity::write(&scratch.0).unwrap();
     let good = scratch.text("docs/CAPACITY.md");
     scratch.put("docs/CAPACITY.md", &format!("{good}\nOf 18,000 schedulers, 1.5 s, and `MAX = 7`.\n"));
     capacity::check(&scratch.0).unwrap();
     scratch.put("docs/CAPACITY.md", &format!("{good}\nIt takes 17.3 s in all.\n"));
-    let complaint = scratch.complaint();
-    assert!(complaint.contains("prose, line") && complaint.contains("`17.3`"), "{complaint}");
+    let error_text = scratch.error_text();
+    assert!(error_text.contains("prose, line") && error_text.contains("`17.3`"), "{error_text}");
 }
 
 #[test]
-fn a_measure_that_no_table_asks_for_and_a_name_that_stands_twice_are_found() {
+fn unused_measure_duplicate_name_and_missing_target_are_reported() {
     let scratch = Scratch::new("names");
     capacity::write(&scratch.0).unwrap();
     let good = scratch.text("lab/capacity/measures.toml");
@@ -222,58 +225,62 @@
         )
     };
     scratch.put("lab/capacity/measures.toml", &another("nobody_asks"));
-    assert!(scratch.complaint().contains("`nobody_asks` is used by no table"));
+    assert!(scratch.error_text().contains("`nobody_asks` is used by no table"));
     scratch.put("lab/capacity/measures.toml", &another("memory_mb"));
-    assert!(scratch.complaint().contains("`memory_mb` stands twice"));
+    assert!(scratch.error_text().contains("`memory_mb` is defined twice"));
     scratch.put("lab/capacity/measures.toml", &good);
     scratch.edit("lab/capacity/targets.toml", |text| text.replace("\"schedulers\"", "\"others\""));
-    assert!(scratch.complaint().contains("target `schedulers` is missing"));
+    assert!(scratch.error_text().contains("target `schedulers` is missing"));
 }
 
 #[test]
-fn a_line_is_told_as_a_line_and_read_beyond_its_ends() {
-    let fit = Fit::of(&[(1_000.0, 3.0), (2_000.0, 5.0), (10_000.0, 21.0)]).unwrap();
+fn line_is_recognised_and_extrapolated() {
+    let fit = Fit::from_points(&[(1_000.0, 3.0), (2_000.0, 5.0), (10_000.0, 21.0)]).unwrap();
     assert_eq!(fit.shape, Shape::Line, "{fit:?}");
     assert!((fit.slope - 0.002).abs() < 1e-12 && (fit.intercept - 1.0).abs() < 1e-9);
     assert!((fit.r_squared - 1.0).abs() < 1e-12);
-    assert_eq!(fit.at(2_000.0), Reading::Measured(5.0));
-    assert_eq!(fit.at(6_000.0), Reading::Between(13.0));
-    assert!(matches!(fit.at(20_000.0), Reading::Beyond(value) if (value - 41.0).abs() < 1e-9));
+    assert_eq!(fit.value_at(2_000.0), Reading::Measured(5.0));
+    assert_eq!(fit.value_at(6_000.0), Reading::Interpolated(13.0));
+    assert!(matches!(fit.value_at(20_000.0), Reading::Extrapolated(value) if (value - 41.0).abs() < 1e-9));
 }
 
 #[test]
-fn a_curve_is_told_by_its_power_and_never_read_as_a_line() {
+fn power_law_is_recognised_and_extrapolated_by_its_power() {
     let square = |x: f64| (x, 3.0 * x * x);
-    let fit = Fit::of(&[square(10.0), square(40.0), square(100.0), square(400.0)]).unwrap();
-    assert!(matches!(fit.shape, Shape::Curve(power) if (power - 2.0).abs() < 1e-9), "{:?}", fit.shape);
-    assert!(matches!(fit.at(4_000.0), Reading::Beyond(value) if (value / 48e6 - 1.0).abs() < 1e-6));
+    let fit = Fit::from_points(&[square(10.0), square(40.0), square(100.0), square(400.0)]).unwrap();
+    assert!(matches!(fit.shape, Shape::PowerLaw(power) if (power - 2.0).abs() < 1e-9), "{:?}", fit.shape);
+    assert!(
+        matches!(fit.value_at(4_000.0), Reading::Extrapolated(value) if (value / 48e6 - 1.0).abs() < 1e-6)
+    );
 }
 
 #[test]
-fn what_is_nearly_a_line_stays_one() {
+fn noisy_line_is_recognised_as_a_line() {
     let noisy = [(4.0, 0.25), (16.0, 1.75), (46.0, 5.0)];
-    assert_eq!(Fit::of(&noisy).unwrap().shape, Shape::Line);
+    assert_eq!(Fit::from_points(&noisy).unwrap().shape, Shape::Line);
 }
 
 #[test]
-fn what_does_not_grow_is_flat_and_what_follows_nothing_is_not_read_beyond() {
-    let flat = Fit::of(&[(500.0, 10.1), (2_000.0, 10.0), (6_000.0, 10.2)]).unwrap();
+fn flat_points_use_their_maximum_and_scattered_points_are_not_extrapolated() {
+    let flat = Fit::from_points(&[(500.0, 10.1), (2_000.0, 10.0), (6_000.0, 10.2)]).unwrap();
     assert_eq!(flat.shape, Shape::Flat);
-    assert_eq!(flat.at(18_000.0), Reading::Beyond(10.2));
-    let wild = Fit::of(&[(1.0, 5.0), (2.0, 1.0), (3.0, 9.0), (4.0, 2.0)]).unwrap();
-    assert_eq!(wild.shape, Shape::Scattered);
-    assert_eq!(wild.at(100.0), Reading::None);
-    let two = Fit::of(&[(1.0, 1.0), (2.0, 2.0)]).unwrap();
-    assert_eq!(two.at(3.0), Reading::None, "two points are no slope");
-    assert!(Fit::of(&[]).is_none());
+    assert_eq!(flat.value_at(18_000.0), Reading::Extrapolated(10.2));
+    let scattered = Fit::from_points(&[(1.0, 5.0), (2.0, 1.0), (3.0, 9.0), (4.0, 2.0)]).unwrap();
+    assert_eq!(scattered.shape, Shape::Scattered);
+    assert_eq!(scattered.value_at(100.0), Reading::None);
+    let two_points = Fit::from_points(&[(1.0, 1.0), (2.0, 2.0)]).unwrap();
+    assert_eq!(two_points.value_at(3.0), Reading::None, "two points are too few to extrapolate");
+    assert!(Fit::from_points(&[]).is_none());
 }
 
 #[test]
-fn several_rows_at_one_place_count_for_how_straight_it_is() {
-    let near = Fit::of(&[(1.0, 1.0), (1.0, 1.02), (2.0, 2.0), (2.0, 2.02), (3.0, 3.0)]).unwrap();
-    assert_eq!(near.shape, Shape::Line);
-    assert_eq!(near.at(1.0), Reading::Measured(1.01));
-    let far = Fit::of(&[(1.0, 0.1), (1.0, 4.0), (2.0, 0.1), (2.0, 6.0), (3.0, 0.2), (3.0, 8.0)]).unwrap();
-    assert!(far.r_squared < 0.5, "{}", far.r_squared);
-    assert_eq!(far.shape, Shape::Scattered);
+fn spread_of_points_at_one_position_counts_in_the_fit() {
+    let small_spread =
+        Fit::from_points(&[(1.0, 1.0), (1.0, 1.02), (2.0, 2.0), (2.0, 2.02), (3.0, 3.0)]).unwrap();
+    assert_eq!(small_spread.shape, Shape::Line);
+    assert_eq!(small_spread.value_at(1.0), Reading::Measured(1.01));
+    let large_spread =
+        Fit::from_points(&[(1.0, 0.1), (1.0, 4.0), (2.0, 0.1), (2.0, 6.0), (3.0, 0.2), (3.0, 8.0)]).unwrap();
+    assert!(large_spread.r_squared < 0.5, "{}", large_spread.r_squared);
+    assert_eq!(large_spread.shape, Shape::Scattered);
 }
