--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: the platform's file, and the operator's file for what is set up beside it.
+//! Reads and checks the configuration: the platform's file, and the operator's file with optional additions.
 
 mod distribution;
 mod error;
--- a/src/config/distribution.rs
+++ b/src/config/distribution.rs
@@ -1,4 +1,5 @@
-//! The domain whose worker list and classes this process takes over or hands on, as the operator's file says.
+//! The section `[distribution]` of the operator's file: the domain whose worker list and classes this process
+//! receives, relays or publishes.
 
 use crate::settings::Site;
 use serde::Deserialize;
@@ -6,25 +7,25 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// This process's place in a domain; `docs/distribution.md`.
+/// This process's role in a domain, and the addresses of the others; see `docs/distribution.md`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Distribution {
-    /// The domain's name: datagrams of another domain are dropped.
+    /// The domain's name. Datagrams of another domain are dropped.
     pub name: String,
     /// Where this process receives datagrams, on a loopback address.
     pub bind: SocketAddr,
     /// What it does for the domain.
     pub role: Role,
-    /// Whom it may follow, of a subscriber or a relay: replicas or relays.
+    /// For a subscriber or a relay: the replicas or relays that it may follow.
     #[serde(default)]
     pub parents: Vec<SocketAddr>,
-    /// All that keep the domain's log, of a replica: 3, 5 or 7, this one among them, the same at all of them.
+    /// For a replica: all replicas of the domain's log, 3, 5 or 7 including this one, the same list at each.
     #[serde(default)]
     pub replicas: Vec<SocketAddr>,
-    /// The zones whose workers a subscriber wants, by name; all where absent.
+    /// For a subscriber: the names of the zones whose workers it receives; all if absent.
     pub zones: Option<Vec<String>>,
-    /// Bytes a second for all children that catch up, together.
+    /// Bytes per second for all children that are catching up, together.
     #[serde(default = "default_catch_up")]
     pub catch_up_bytes_per_second: u64,
 }
@@ -33,29 +34,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It puts in force what comes.
+    /// Applies the changes that it receives.
     Subscriber,
-    /// It hands on what comes.
+    /// Forwards the changes that it receives to its children.
     Relay,
-    /// It keeps the domain's log, and may be the one that publishes.
+    /// Stores the domain's log, and may become its publisher.
     Replica,
 }
 
-/// A tenth of a link of a gigabit a second: a process that serves children is not all that uses it.
+/// A tenth of a link of one gigabit per second, because a process that serves children shares the link with others.
 fn default_catch_up() -> u64 {
     12_500_000
 }
 
-/// Numbers of replicas that make a majority that outlasts a loss.
+/// Numbers of replicas whose majority survives the loss of one.
 const QUORUM_SIZES: [usize; 3] = [3, 5, 7];
-/// Bounds of the bytes for catching up: some ten pages a second, and a link of ten gigabits.
-const CATCH_UP_BYTES_PER_SECOND: std::ops::RangeInclusive<u64> = 16_384..=1_250_000_000;
-/// Parents that a process may name: more do not help it, and each is a line of its status.
+/// Range of the rate for catching up: from about ten pages per second to a link of ten gigabits per second.
+const CATCH_UP_RANGE_BYTES_PER_SECOND: std::ops::RangeInclusive<u64> = 16_384..=1_250_000_000;
+/// Most parents that a process may name: more don't help it, and each takes a line of its status.
 const MAX_PARENTS: usize = 16;
 
 impl Distribution {
-    /// What must hold whatever the settings are; `fleet` is whether this process is in one.
-    pub(super) fn check_alone(&self, fleet: bool) -> Result<(), DistributionError> {
+    /// Checks what doesn't depend on the settings.
+    pub(super) fn check_alone(&self, in_fleet: bool) -> Result<(), DistributionError> {
         if self.name.is_empty() {
             return Err(DistributionError::NoName);
         }
@@ -69,16 +70,16 @@
                 return Err(DistributionError::AddressTwice { key, at: *at });
             }
         }
-        if !CATCH_UP_BYTES_PER_SECOND.contains(&self.catch_up_bytes_per_second) {
+        if !CATCH_UP_RANGE_BYTES_PER_SECOND.contains(&self.catch_up_bytes_per_second) {
             return Err(DistributionError::CatchUpRate);
         }
         match self.role {
-            Role::Replica => self.check_replica(fleet),
+            Role::Replica => self.check_replica(in_fleet),
             Role::Relay | Role::Subscriber => self.check_child(),
         }
     }
 
-    fn check_replica(&self, fleet: bool) -> Result<(), DistributionError> {
+    fn check_replica(&self, in_fleet: bool) -> Result<(), DistributionError> {
         let count = self.replicas.len();
         if !QUORUM_SIZES.contains(&count) {
             return Err(DistributionError::ReplicaCount(count));
@@ -92,7 +93,7 @@
         if self.zones.is_some() {
             return Err(DistributionError::ReplicaWithZones);
         }
-        if !fleet {
+        if !in_fleet {
             return Err(DistributionError::ReplicaWithoutFleet);
         }
         Ok(())
@@ -115,10 +116,10 @@
         Ok(())
     }
 
-    /// What must hold with these settings.
+    /// Checks the section against the settings of the site.
     ///
     /// # Errors
-    /// [`DistributionError`] names the key that does not fit the site.
+    /// [`DistributionError`] names the key that contradicts the settings.
     pub fn check(&self, site: &Site) -> Result<(), DistributionError> {
         if !site.peers {
             return Err(DistributionError::NoPeers);
@@ -133,23 +134,23 @@
     }
 }
 
-/// Why the domain of an operator's file cannot be used. The text starts with the key.
+/// Why the section `[distribution]` of an operator's file is rejected. The text starts with the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DistributionError {
     /// The domain has no name.
     NoName,
-    /// An address is no loopback address.
+    /// An address is not a loopback address.
     NotLoopback(SocketAddr),
-    /// A list has an address twice.
+    /// A list contains an address twice.
     AddressTwice {
         /// The list's key.
         key: &'static str,
         /// The address.
         at: SocketAddr,
     },
-    /// The rate for catching up is out of bounds.
+    /// The rate for catching up is out of range.
     CatchUpRate,
-    /// So many replicas make no majority that outlasts a loss.
+    /// This number of replicas is not one whose majority survives the loss of one.
     ReplicaCount(usize),
     /// This process is not among the replicas.
     NotAmongReplicas {
@@ -158,24 +159,24 @@
     },
     /// A replica has parents.
     ReplicaWithParents,
-    /// A replica wants only some zones.
+    /// A replica is restricted to some zones.
     ReplicaWithZones,
-    /// A replica is in no fleet.
+    /// A replica is not in a fleet.
     ReplicaWithoutFleet,
-    /// The number of parents is out of bounds.
+    /// The number of parents is out of range.
     ParentCount(usize),
-    /// This process is among its parents.
+    /// This process is one of its own parents.
     OwnParent {
         /// Its address.
         bind: SocketAddr,
     },
     /// A subscriber or relay has replicas.
     ChildWithReplicas,
-    /// A relay wants only some zones.
+    /// A relay is restricted to some zones.
     RelayWithZones,
-    /// The settings do not let schedulers talk to each other.
+    /// The settings do not allow schedulers to communicate with each other.
     NoPeers,
-    /// A zone stands twice, or is none of the settings.
+    /// A zone is listed twice, or is not a zone of the settings.
     Zone(String),
 }
 
@@ -190,8 +191,8 @@
                 write!(f, "distribution.{key} names {at} twice")
             }
             DistributionError::CatchUpRate => {
-                let least = CATCH_UP_BYTES_PER_SECOND.start();
-                let most = CATCH_UP_BYTES_PER_SECOND.end();
+                let least = CATCH_UP_RANGE_BYTES_PER_SECOND.start();
+                let most = CATCH_UP_RANGE_BYTES_PER_SECOND.end();
                 write!(f, "distribution.catch_up_bytes_per_second is not between {least} and {most}")
             }
             DistributionError::ReplicaCount(count) => write!(
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the configuration, in the text that operators see.
+//! Errors of the configuration, with the text that operators see.
 
 use super::distribution::DistributionError;
 use super::fleet::FleetError;
@@ -26,65 +26,65 @@
     }
 }
 
-/// Why a configuration cannot be used.
+/// Why a configuration is rejected.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The environment names no configuration.
+    /// `GW_CONFIG` is not set.
     MissingEnvironment,
-    /// A variable of the environment has a value that cannot be read.
+    /// An environment variable has a value that cannot be parsed.
     InvalidEnvironment {
         /// The variable.
         name: &'static str,
         /// Its value.
         value: String,
-        /// What it should be.
+        /// The kind of value that is expected.
         expected: &'static str,
     },
     /// A file cannot be read.
     Unreadable {
-        /// Which of the two.
+        /// Which of the two files.
         file: SourceFile,
         /// Its path.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The platform's file is no JSON, or its fields are not those expected.
+    /// The platform's file is not valid JSON, or its fields don't match the expected ones.
     Malformed(serde_json::Error),
-    /// The platform's file has no settings.
+    /// The platform's file has no `settings`.
     MissingSettings,
-    /// The settings cannot be used.
+    /// The settings are invalid.
     Settings(SettingsError),
-    /// A worker of a known event has a value that cannot be read.
+    /// A worker in one of the file's discovery events has an invalid value.
     InvalidWorker {
-        /// Its key.
+        /// The key of the value.
         key: &'static str,
         /// The value.
         value: String,
     },
-    /// A new configuration lacks a key, given by its path, that the one in use has.
+    /// A new configuration lacks a key that the one in use has. Holds the key's path.
     MissingKey(String),
-    /// A new configuration has a key, given by its path, as another type.
+    /// A key of a new configuration has a value of another type than in the one in use. Holds the key's path.
     KeyType(String),
-    /// A class has no name, or that of another one.
+    /// A class has no name, or the name of another class.
     ClassName {
-        /// Its index.
+        /// The index of the class.
         index: usize,
         /// Its name.
         name: String,
     },
-    /// There are no classes.
+    /// A new configuration has no classes.
     NoClasses,
-    /// A figure of a class is 0.
+    /// A number of a class that must be positive is 0.
     ZeroClassFigure {
         /// The index of the class.
         index: usize,
         /// The key.
         key: &'static str,
     },
-    /// Requests may have no attempt.
+    /// The limit on attempts is 0, so that no request could be sent.
     ZeroAttempts,
-    /// The operator's file cannot be used.
+    /// The operator's file is invalid.
     Operator(OperatorError),
 }
 
@@ -152,29 +152,29 @@
     }
 }
 
-/// For callers that only pass the text on.
+/// For callers that only pass on the text.
 impl From<ConfigError> for String {
     fn from(error: ConfigError) -> String {
         error.to_string()
     }
 }
 
-/// Why an operator's file cannot be used.
+/// Why an operator's file is rejected.
 #[derive(Debug)]
 pub enum OperatorError {
-    /// It is no TOML, or its fields are not those expected.
+    /// The file is not valid TOML, or its fields don't match the expected ones.
     Malformed(toml::de::Error),
-    /// The longest line of the JSON-RPC front is out of bounds.
+    /// The maximum line length of the JSON-RPC front is out of range.
     JsonRpcLine,
-    /// A number of the virtual router is out of bounds.
+    /// A number of the virtual router is out of range.
     VrrpBounds,
-    /// An address of the virtual router is no loopback address.
+    /// An address of the virtual router is not a loopback address.
     VrrpAddress,
-    /// A checker's id cannot be read, or is another one's too.
+    /// A checker's id cannot be parsed, or another checker has it too.
     CheckerId(String),
-    /// The fleet.
+    /// The section `[fleet]` is invalid.
     Fleet(FleetError),
-    /// The domain.
+    /// The section `[distribution]` is invalid.
     Distribution(DistributionError),
 }
 
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that this process belongs to, as the operator's file says.
+//! The section `[fleet]` of the operator's file: the fleet that this process belongs to.
 
 use crate::interface::Shares;
 use crate::settings::Site;
@@ -7,47 +7,47 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A fleet of processes that may talk to each other; `docs/fleet.md`.
+/// The fleet that this process belongs to, and its part in it; see `docs/fleet.md`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Its name: datagrams of another fleet are dropped.
+    /// The fleet's name. Datagrams of another fleet are dropped.
     pub name: String,
     /// Where this process receives datagrams, on a loopback address.
     pub bind: SocketAddr,
-    /// Who grants leases: 3, 5 or 7 processes, the same list at all of the fleet.
+    /// The processes that grant leases: 3, 5 or 7, the same list at every process of the fleet.
     pub electors: Vec<Elector>,
-    /// Whether this process is one of them.
+    /// Whether this process is one of the electors.
     #[serde(default = "yes")]
     pub votes: bool,
-    /// For how long a lease is granted, in milliseconds.
+    /// How long a lease is granted for, in milliseconds.
     #[serde(default = "default_term")]
     pub term_ms: u64,
-    /// The longest term that any process of the fleet has been set to since it was started, in milliseconds: an
-    /// elector that starts is mute for so long. The term, where absent.
+    /// The longest term that any process of the fleet has been configured with since the fleet was started, in
+    /// milliseconds: an elector grants nothing for this long after it starts. Defaults to the term.
     pub longest_ms: Option<u64>,
-    /// How long a datagram may take between two processes, in milliseconds.
+    /// The longest time that a datagram may take between two processes, in milliseconds.
     #[serde(default = "default_delay")]
     pub delay_ms: u64,
-    /// How far the rate of a clock may be off, in millionths.
+    /// The largest error of a clock's rate, in parts per million.
     #[serde(default = "default_drift")]
     pub drift_ppm: u64,
-    /// Parts into which each task is cut; none where the fleet only publishes.
+    /// Parts that each task is partitioned into; 0 if the fleet only publishes.
     #[serde(default = "default_parts")]
     pub parts: u16,
-    /// The fleet agrees on what is shed when more requests come than the workers bear.
+    /// Whether the fleet agrees on an admission level to shed load when the workers are overloaded.
     #[serde(default)]
     pub shed: bool,
-    /// Processes that are reached elsewhere than they say.
+    /// Processes that are reached at another address than the one they announce.
     #[serde(default)]
     pub via: Vec<Elector>,
 }
 
-/// A process, and where it is reached.
+/// A process and the address at which it is reached.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Elector {
-    /// Its index, as in its settings.
+    /// The index in the process's settings.
     pub index: u32,
     /// Where it receives datagrams.
     pub at: SocketAddr,
@@ -73,15 +73,16 @@
     3
 }
 
-/// Numbers of electors that make a majority that outlasts a loss.
+/// Numbers of electors whose majority survives the loss of one.
 const QUORUM_SIZES: [usize; 3] = [3, 5, 7];
-/// Bounds of a term, in milliseconds.
-const TERM_MS: std::ops::RangeInclusive<u64> = 400..=60_000;
-/// The largest part by which the rate of a clock may be said to be off.
+/// Range of a term, in milliseconds.
+const TERM_RANGE_MS: std::ops::RangeInclusive<u64> = 400..=60_000;
+/// The largest clock drift that may be configured, in parts per million.
 const MAX_DRIFT_PPM: u64 = 100_000;
 
 impl Fleet {
-    /// What must hold whatever the settings are. Only processes that publish may be there for nothing else.
+    /// Checks what doesn't depend on the settings. Only processes that publish may have no parts: they need the
+    /// fleet for the publisher's lease alone.
     pub(super) fn check_alone(&self, publishes: bool) -> Result<(), FleetError> {
         self.check_electors()?;
         self.check_times()?;
@@ -111,15 +112,15 @@
     }
 
     fn check_times(&self) -> Result<(), FleetError> {
-        if !TERM_MS.contains(&self.term_ms) {
+        if !TERM_RANGE_MS.contains(&self.term_ms) {
             return Err(FleetError::Term);
         }
-        // Winning a lease takes two round trips, and each is waited for an eighth of a term.
+        // Acquiring a lease takes two round trips, and the timeout of each is an eighth of a term.
         let shortest = 16 * self.delay_ms;
         if self.term_ms < shortest {
             return Err(FleetError::TermUnderDelay { shortest });
         }
-        if self.longest_ms.is_some_and(|longest| longest < self.term_ms || longest > *TERM_MS.end()) {
+        if self.longest_ms.is_some_and(|longest| longest < self.term_ms || longest > *TERM_RANGE_MS.end()) {
             return Err(FleetError::LongestTerm);
         }
         if self.drift_ppm > MAX_DRIFT_PPM {
@@ -128,10 +129,10 @@
         Ok(())
     }
 
-    /// What must hold with these settings.
+    /// Checks the fleet against the settings of the site.
     ///
     /// # Errors
-    /// [`FleetError`] names the key that does not fit the site.
+    /// [`FleetError`] names the key that contradicts the settings.
     pub fn check(&self, site: &Site) -> Result<(), FleetError> {
         if !site.peers {
             return Err(FleetError::NoPeers);
@@ -147,38 +148,38 @@
     }
 }
 
-/// Why the fleet of an operator's file cannot be used. The text starts with the key.
+/// Why the section `[fleet]` of an operator's file is rejected. The text starts with the key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetError {
-    /// So many electors make no majority that outlasts a loss.
+    /// This number of electors is not one whose majority survives the loss of one.
     ElectorCount(usize),
-    /// The index or the address of an elector is another one's too.
+    /// Another elector has the same index or address.
     ElectorTwice(Elector),
-    /// An address is no loopback address.
+    /// An address is not a loopback address.
     NotLoopback(SocketAddr),
-    /// The term is out of bounds.
+    /// The term is out of range.
     Term,
     /// The term is too short for the delay.
     TermUnderDelay {
         /// The shortest term that the delay allows, in milliseconds.
         shortest: u64,
     },
-    /// The longest term is out of bounds.
+    /// The longest term is out of range.
     LongestTerm,
-    /// The drift is out of bounds.
+    /// The drift is out of range.
     Drift,
-    /// The number of parts is out of bounds.
+    /// The number of parts is out of range.
     Parts,
-    /// The settings do not let schedulers talk to each other.
+    /// The settings do not allow schedulers to communicate with each other.
     NoPeers,
-    /// This process votes and is not among the electors.
+    /// This process votes but is not among the electors.
     NotElector {
         /// Its index.
         index: u32,
     },
-    /// This process is among the electors and does not vote.
+    /// This process is among the electors but does not vote.
     ElectorWithoutVote,
-    /// The electors have this process at another address.
+    /// The list of electors has this process at another address.
     OtherAddress(SocketAddr),
 }
 
@@ -195,13 +196,18 @@
                 write!(f, "fleet.bind and electors are loopback addresses, and {at} is none")
             }
             FleetError::Term => {
-                write!(f, "fleet.term_ms is not between {} and {}", TERM_MS.start(), TERM_MS.end())
+                write!(
+                    f,
+                    "fleet.term_ms is not between {} and {}",
+                    TERM_RANGE_MS.start(),
+                    TERM_RANGE_MS.end()
+                )
             }
             FleetError::TermUnderDelay { shortest } => {
                 write!(f, "fleet.term_ms is under 16 times delay_ms, {shortest}")
             }
             FleetError::LongestTerm => {
-                write!(f, "fleet.longest_ms is not between term_ms and {}", TERM_MS.end())
+                write!(f, "fleet.longest_ms is not between term_ms and {}", TERM_RANGE_MS.end())
             }
             FleetError::Drift => write!(f, "fleet.drift_ppm is over {MAX_DRIFT_PPM}"),
             FleetError::Parts => write!(f, "fleet.parts is not between 1 and {}", Shares::MAX_PARTS),
--- a/src/config/fleet/tests.rs
+++ b/src/config/fleet/tests.rs
@@ -1,6 +1,6 @@
 use super::super::read_operator;
 
-const GOOD: &str = r#"[fleet]
+const VALID_FILE: &str = r#"[fleet]
 name = "tyww"
 bind = "127.0.0.21:9200"
 electors = [{ index = 0, at = "127.0.0.21:9200" }, { index = 1, at = "127.0.0.22:9200" }, { index = 2, at = "127.0.0.23:9200" }]
@@ -8,27 +8,27 @@
 delay_ms = 100
 "#;
 
-const SITE: &str = r#"{"fleetSize": 4, "index": 0, "classes": [], "bounds": {"mostTries": 3, "peers": true},
+const SITE_SETTINGS: &str = r#"{"fleetSize": 4, "index": 0, "classes": [], "bounds": {"mostTries": 3, "peers": true},
         "contract": {"coldFrom": 0.2, "coldNs": 1, "fallMultiple": 3, "fallNs": 1},
         "familyInfo": {"keepNs": 1, "notLoaded": "load", "loadSpanNs": 0}}"#;
 
-fn load(text: &str, site: &str) -> Result<(), String> {
+fn parse_and_check(text: &str, site: &str) -> Result<(), String> {
     let operator = read_operator(text).map_err(|error| error.to_string())?;
-    assert!(operator.fleet.is_some(), "there is one");
-    let site = crate::settings::read_site(site.as_bytes()).expect("a site");
+    assert!(operator.fleet.is_some(), "the file has a fleet");
+    let site = crate::settings::read_site(site.as_bytes()).expect("the site's settings are valid");
     operator.check_site(&site).map_err(|error| error.to_string())
 }
 
 #[test]
-fn the_file_under_deploy_is_read() {
+fn the_example_file_and_a_valid_fleet_are_accepted() {
     let operator = read_operator(include_str!("../../../deploy/fleet.toml")).unwrap();
     assert_eq!(operator.fleet.unwrap().electors.len(), 3);
-    assert_eq!(load(GOOD, SITE), Ok(()));
+    assert_eq!(parse_and_check(VALID_FILE, SITE_SETTINGS), Ok(()));
 }
 
-/// Each is refused with the key and the reason.
+/// Each error names the key and the reason.
 #[test]
-fn odd_fleets_are_refused() {
+fn invalid_fleet_sections_are_rejected() {
     let third = r#", { index = 2, at = "127.0.0.23:9200" }"#;
     let cases = [
         (third, "", "electors has 2 entries"),
@@ -57,12 +57,16 @@
         ("term_ms = 4000", "term_ms = -1", "term_ms"),
     ];
     for (from, to, why) in cases {
-        assert!(GOOD.contains(from), "{from}");
-        let error = load(&GOOD.replacen(from, to, 1), SITE).unwrap_err();
+        assert!(VALID_FILE.contains(from), "{from}");
+        let error = parse_and_check(&VALID_FILE.replacen(from, to, 1), SITE_SETTINGS).unwrap_err();
         assert!(error.starts_with("operator's file: ") && error.contains(why), "{to}: {error}");
     }
-    let silent = SITE.replace("\"peers\": true", "\"peers\": false");
-    assert!(load(GOOD, &silent).unwrap_err().contains("bounds.peers of the settings is false"));
-    let other = SITE.replace("\"index\": 0", "\"index\": 3");
-    assert!(load(GOOD, &other).unwrap_err().contains("lacks this process, index 3"));
+    let without_peers = SITE_SETTINGS.replace("\"peers\": true", "\"peers\": false");
+    assert!(
+        parse_and_check(VALID_FILE, &without_peers)
+            .unwrap_err()
+            .contains("bounds.peers of the settings is false")
+    );
+    let other = SITE_SETTINGS.replace("\"index\": 0", "\"index\": 3");
+    assert!(parse_and_check(VALID_FILE, &other).unwrap_err().contains("lacks this process, index 3"));
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what is set up beside the platform's configuration.
+//! The operator's file: optional features that the platform's configuration doesn't cover.
 
 use super::error::OperatorError;
 use super::names::{default_weight, index_of, read_worker};
@@ -11,24 +11,26 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// Bounds of the longest line of the JSON-RPC front, in bytes.
-const JSON_RPC_LINE_BOUNDS: RangeInclusive<usize> = 1024..=1 << 20;
+/// Range of the maximum line length of the JSON-RPC front, in bytes.
+const JSON_RPC_LINE_RANGE_BYTES: RangeInclusive<usize> = 1024..=1 << 20;
 
-/// What an operator has set up beside the platform: the second front, checkers of the same host, VRRP.
+/// The features that an operator has configured: the second front, checkers on this host, VRRP, chains, the fleet
+/// and the distribution.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// The JSON-RPC front; off where absent.
+    /// The JSON-RPC front; off if absent.
     pub jsonrpc: Option<JsonRpc>,
     /// Checkers on Unix sockets of this host.
     pub checkers: Vec<Checker>,
-    /// Which daemon takes new requests on the JSON-RPC front; without it, this one does.
+    /// The virtual router that decides which daemon accepts new requests on the JSON-RPC front; this one always does
+    /// if absent.
     pub vrrp: Option<Vrrp>,
     /// How chains are served.
     pub chains: Chains,
-    /// The processes that this daemon does the tasks of all with; off where absent.
+    /// The fleet of processes that this daemon divides shared tasks with; off if absent.
     pub fleet: Option<Fleet>,
-    /// The domain from which the list and the classes come; off where absent.
+    /// The domain that distributes the worker list and the classes; off if absent.
     pub distribution: Option<Distribution>,
 }
 
@@ -40,11 +42,11 @@
     pub until: Until,
 }
 
-/// How long a chain may take, within its client's own allowance.
+/// How long a chain may take, at most until its client gives up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Until {
-    /// The time wanted for the class of its last step.
+    /// The latency objective of its last step's class.
     #[default]
     Wanted,
     /// Until the client gives up.
@@ -55,21 +57,21 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vrrp {
-    /// Its number, 1 to 255.
+    /// The virtual router's number, 1 to 255.
     pub vrid: u8,
-    /// This daemon's priority: 1 to 254, or 255 for the owner.
+    /// This daemon's priority: 1 to 254, or 255 for the owner of the address.
     pub priority: u8,
     /// Time between advertisements, in centiseconds: 1 to 4095.
     #[serde(default = "default_interval")]
     pub interval_cs: u16,
-    /// Whether it takes over from an active one of lower priority.
+    /// Whether this daemon takes over from an active one of lower priority.
     #[serde(default = "default_preempt")]
     pub preempt: bool,
     /// Where this daemon receives advertisements, on a loopback address.
     pub bind: SocketAddr,
-    /// Where the other daemons do.
+    /// Where the other daemons receive advertisements.
     pub peers: Vec<SocketAddr>,
-    /// The virtual router's address, named in advertisements.
+    /// The virtual router's address, which advertisements contain.
     pub address: Ipv4Addr,
 }
 
@@ -100,18 +102,18 @@
 pub struct JsonRpc {
     /// Where clients connect.
     pub socket: PathBuf,
-    /// Who may: the socket file's mode, as octal digits.
+    /// The socket file's mode, which decides who may connect; octal digits in the file.
     #[serde(default = "default_mode", deserialize_with = "read_mode")]
     pub mode: u32,
-    /// Connections at a time.
+    /// Most connections at a time.
     #[serde(default = "default_clients")]
     pub max_clients: usize,
-    /// Longest line.
+    /// Longest line, in bytes.
     #[serde(default = "default_line")]
     pub max_line: usize,
 }
 
-/// A checker that speaks JSON-RPC.
+/// A checker: a worker on a Unix socket that speaks JSON-RPC.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checker {
@@ -119,13 +121,13 @@
     pub id: String,
     /// Where it listens.
     pub socket: PathBuf,
-    /// Its zone, by name.
+    /// The name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its machine kind, by name.
+    /// The name of its machine kind.
     #[serde(default)]
     pub kind: String,
-    /// Relative size.
+    /// Its size relative to other workers.
     #[serde(default = "default_weight")]
     pub weight: f64,
 }
@@ -148,10 +150,10 @@
     mode.ok_or_else(|| serde::de::Error::custom(format!("mode '{text}' is not octal digits up to 777")))
 }
 
-/// Reads an operator's file; the error names what is missing or odd.
+/// Parses an operator's file and checks what doesn't depend on the settings.
 ///
 /// # Errors
-/// The text is no TOML, or has a key that is unknown or out of range.
+/// The text is not valid TOML, or has a key that is unknown, missing or out of range; the error names the key.
 pub fn read_operator(text: &str) -> Result<Operator, OperatorError> {
     let operator: Operator = toml::from_str(text).map_err(OperatorError::Malformed)?;
     operator.check_alone()?;
@@ -159,9 +161,9 @@
 }
 
 impl Operator {
-    /// What must hold whatever the settings are.
+    /// Checks what doesn't depend on the settings.
     fn check_alone(&self) -> Result<(), OperatorError> {
-        if self.jsonrpc.as_ref().is_some_and(|front| !JSON_RPC_LINE_BOUNDS.contains(&front.max_line)) {
+        if self.jsonrpc.as_ref().is_some_and(|front| !JSON_RPC_LINE_RANGE_BYTES.contains(&front.max_line)) {
             return Err(OperatorError::JsonRpcLine);
         }
         if let Some(vrrp) = &self.vrrp {
@@ -182,10 +184,10 @@
         Ok(())
     }
 
-    /// Whether it may be used with these settings; the error names the key.
+    /// Checks the file against the settings of the site.
     ///
     /// # Errors
-    /// A class, zone or fleet of the file does not fit the site.
+    /// The fleet or the distribution contradicts the settings; the error names the key.
     pub fn check_site(&self, site: &Site) -> Result<(), OperatorError> {
         if let Some(fleet) = &self.fleet {
             fleet.check(site)?;
@@ -196,17 +198,17 @@
         Ok(())
     }
 
-    /// Whether this process may publish for its domain.
+    /// Whether this process may become the publisher of its domain.
     pub fn publishes(&self) -> bool {
         self.distribution.as_ref().is_some_and(|distribution| distribution.role == Role::Replica)
     }
 
-    /// Whether this process has its list of workers from its domain.
+    /// Whether this process receives its worker list from its domain.
     pub fn subscribes(&self) -> bool {
         self.distribution.as_ref().is_some_and(|distribution| distribution.role == Role::Subscriber)
     }
 
-    /// The checkers as lines of the list of workers.
+    /// The checkers as entries of the worker list, with their sockets. Unknown zones and kinds get index 0.
     pub fn members(&self, site: &Site) -> Vec<(Member, PathBuf)> {
         let member = |checker: &Checker| {
             let member = Member {
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The platform's configuration.
+/// The platform's configuration, parsed and with defaults filled in.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The scheduler's name.
@@ -20,25 +20,25 @@
     pub listen: SocketAddr,
     /// The second address, if there is one.
     pub mgmt: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Descriptors that may be held.
+    /// Most file descriptors that may be open.
     pub sockets: usize,
-    /// Memory that may be taken, in MB.
+    /// Memory that may be used, in MB.
     pub memory_mb: usize,
-    /// Where the discovery stream is, if there is one.
+    /// The address of the discovery stream, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// Discovery's events up to now.
+    /// Discovery's events that the file contains, by offset.
     pub known_events: Vec<WatchEvent>,
-    /// The site.
+    /// The settings of the site.
     pub site: Site,
-    /// All that the file holds but discovery's events, read or not.
+    /// The complete file without discovery's events, including keys that are not interpreted.
     pub whole: Value,
-    /// The file itself, where it is to be kept for a process that takes over.
+    /// The file's text, if it has to be kept for a process that takes over; else empty.
     pub text: Vec<u8>,
 }
 
-/// The file as it is parsed, once: discovery's events into their own form, all the rest into a tree.
+/// The file parsed in a single pass: discovery's events into structs, everything else into a tree.
 struct ParsedFile<'a> {
     known: KnownEvents<'a>,
     rest: Map<String, Value>,
@@ -72,7 +72,7 @@
                     };
                     file.rest.insert(key, value);
                 }
-                // A file without events does not count as one that lacks a key.
+                // So that a file without events is not rejected for a missing key.
                 file.rest.insert("known".to_owned(), Value::Null);
                 Ok(file)
             }
@@ -82,12 +82,12 @@
 }
 
 impl Config {
-    /// The classes as the file has them.
+    /// The classes as they are in the file.
     pub fn classes(&self) -> &[Value] {
         self.whole["settings"]["classes"].as_array().map_or(&[], Vec::as_slice)
     }
 
-    /// The same without what may be long.
+    /// A copy without the parts that may be large: discovery's events and the file's text.
     pub fn without_events(&self) -> Config {
         Config {
             name: self.name.clone(),
@@ -99,19 +99,19 @@
         }
     }
 
-    /// The same with these classes, by their names, in the place of those of the name or after all others.
+    /// Replaces the classes of these names, and appends those whose names are new.
     ///
     /// # Errors
-    /// A class cannot be read, or the settings with it cannot be used.
+    /// A class cannot be parsed, or the settings that contain it are invalid.
     pub fn with_classes(mut self, classes: &BTreeMap<String, Value>) -> Result<Config, ConfigError> {
         let list = self.whole.pointer_mut("/settings/classes").and_then(Value::as_array_mut);
         let list = list.ok_or_else(|| ConfigError::MissingKey("settings.classes".to_owned()))?;
-        let places = list.iter().enumerate();
-        let places: BTreeMap<String, usize> =
-            places.filter_map(|(n, class)| Some((class["name"].as_str()?.to_owned(), n))).collect();
+        let indices = list.iter().enumerate();
+        let indices: BTreeMap<String, usize> =
+            indices.filter_map(|(n, class)| Some((class["name"].as_str()?.to_owned(), n))).collect();
         for (name, class) in classes {
-            match places.get(name) {
-                Some(place) => list[*place] = class.clone(),
+            match indices.get(name) {
+                Some(index) => list[*index] = class.clone(),
                 None => list.push(class.clone()),
             }
         }
@@ -179,20 +179,20 @@
     boot_ms: u64,
 }
 
-/// Descriptors held where no limit is given.
+/// Limit on open file descriptors if none is configured.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory taken where no limit is given, in MB.
+/// Limit on memory if none is configured, in MB.
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// Reads the configuration; the error names what is missing or odd.
+/// Parses the platform's configuration file.
 ///
 /// # Errors
-/// [`ConfigError`] names the key that is missing or odd.
+/// [`ConfigError`] names the key that is missing or invalid.
 pub fn read(bytes: &[u8]) -> Result<Config, ConfigError> {
     read_after(bytes, None)
 }
 
-/// The same for a process that knows discovery's events up to this number: those are checked and not kept.
+/// Like [`read`], for a process that knows discovery's events up to this offset: those are checked but not kept.
 ///
 /// # Errors
 /// As [`read`].
--- a/src/config/replacement.rs
+++ b/src/config/replacement.rs
@@ -1,15 +1,15 @@
-//! The check of a new configuration that is to take the place of the one in use.
+//! Checks whether a new configuration may replace the one in use.
 
 use super::{Config, ConfigError};
 use crate::interface::{Class, Duration, Effect};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
-/// Keys that only keyed classes need.
+/// Keys that only classes with the effect `dedup` need.
 const KEYED_CLASS_KEYS: [&str; 2] = ["group", "repeatWindowNs"];
 
-/// Whether a new configuration may take the place of the one in use: it has every key that this one has, of the
-/// same type, and its classes can be served. The error names the key.
+/// Checks that a new configuration may replace the one in use: it has every key of the one in use, with a value
+/// of the same type, and its classes can be served. The error names the key.
 ///
 /// # Errors
 /// The new configuration lacks a key, changes a key's type, or has classes that cannot be served.
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// The keys that all classes in use have, without those that only keyed classes need.
+/// The keys that all classes in use have in common, without those that only keyed classes need.
 fn class_keys_in_use(used: &Config) -> Value {
     let common = used.classes().iter().cloned().reduce(|one, other| {
         let in_both = |(key, _): &(&String, &Value)| other.get(key.as_str()).is_some();
@@ -64,8 +64,8 @@
     Ok(())
 }
 
-/// Finds the first key that the new object lacks, or has as another type. Lists are compared by whoever knows
-/// what is in them.
+/// Finds the first key that the new object lacks or whose value has another type. Lists are not compared: the
+/// caller, which knows their contents, does that.
 fn check_keys(used: &Value, new: &Value, path: &str) -> Result<(), ConfigError> {
     let (Some(used), Some(new)) = (used.as_object(), new.as_object()) else { return Ok(()) };
     for (key, value) in used {
--- a/src/config/sources.rs
+++ b/src/config/sources.rs
@@ -1,4 +1,4 @@
-//! Where the configuration comes from: the environment, and the files that it names.
+//! Locates the configuration files through the environment and reads them.
 
 use super::error::SourceFile;
 use super::{Config, ConfigError, Operator, read_after, read_operator};
@@ -6,36 +6,37 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// The files of the configuration. They are read at the start, and anew on SIGHUP.
+/// The files of the configuration and what the environment adds to them. The files are read at startup and again
+/// on SIGHUP.
 #[derive(Clone, Debug)]
 pub struct Sources {
     /// The platform's configuration.
     pub config: PathBuf,
     /// The operator's file, if there is one.
     pub operator: Option<PathBuf>,
-    /// The second address as given to this process alone: it prevails over the file, which an old and a
-    /// new process share.
+    /// The second address of this process (`GW_MGMT`). It overrides the address in the file, which the old and the
+    /// new process share during an upgrade.
     pub mgmt: Option<SocketAddr>,
-    /// The descriptor of the clients' listener, where the platform holds it.
-    pub passed_listener: Option<i32>,
+    /// The descriptor of the clients' listener, if the platform passes one (`GW_PASSED_SOCKET`).
+    pub listen_fd: Option<i32>,
 }
 
 impl Sources {
-    /// What the platform's environment names, and this operator's file; the error names what is odd.
+    /// The sources that the environment names, with this operator's file.
     ///
     /// # Errors
-    /// `GW_CONFIG` is absent, or another variable cannot be read.
+    /// `GW_CONFIG` is not set, or another variable cannot be parsed; the error names the variable.
     pub fn from_env(operator: Option<PathBuf>) -> Result<Sources, ConfigError> {
         let config = std::env::var_os("GW_CONFIG").ok_or(ConfigError::MissingEnvironment)?.into();
-        let mgmt = from_environment("GW_MGMT", "address")?;
-        let passed_listener = from_environment("GW_PASSED_SOCKET", "number")?;
-        Ok(Sources { config, operator, mgmt, passed_listener })
+        let mgmt = parse_variable("GW_MGMT", "address")?;
+        let listen_fd = parse_variable("GW_PASSED_SOCKET", "number")?;
+        Ok(Sources { config, operator, mgmt, listen_fd })
     }
 
-    /// Reads the operator's file.
+    /// Reads the operator's file; the default without one.
     ///
     /// # Errors
-    /// The operator's file cannot be read or used.
+    /// The operator's file cannot be read or is invalid.
     pub fn operator(&self) -> Result<Operator, ConfigError> {
         let Some(path) = &self.operator else { return Ok(Operator::default()) };
         let text = std::fs::read_to_string(path)
@@ -43,15 +44,15 @@
         Ok(read_operator(&text)?)
     }
 
-    /// Reads both files whole; nothing of them is used unless all of both can be.
+    /// Reads both files. Either all of both is valid, or nothing of them is used.
     ///
     /// # Errors
-    /// Either file cannot be read or used, or they do not fit each other.
+    /// Either file cannot be read or is invalid, or they contradict each other.
     pub fn read(&self) -> Result<(Config, Operator), ConfigError> {
         self.read_after(None)
     }
 
-    /// The same for a process that knows discovery's events up to this number.
+    /// Like [`Sources::read`], for a process that already knows discovery's events up to this offset.
     ///
     /// # Errors
     /// As [`Sources::read`].
@@ -61,17 +62,14 @@
             .map_err(|source| ConfigError::unreadable(SourceFile::Platform, &self.config, source))?;
         let config = read_after(&text, offset)?;
         operator.check_site(&config.site)?;
-        // Only a process that takes over is in need of it.
-        let text = if self.passed_listener.is_some() { text } else { Vec::new() };
+        // Only a process that takes over from another one needs the file's text.
+        let text = if self.listen_fd.is_some() { text } else { Vec::new() };
         Ok((Config { mgmt: self.mgmt.or(config.mgmt), text, ..config }, operator))
     }
 }
 
-/// A variable of the environment, if it is set and not empty.
-fn from_environment<T: FromStr>(
-    name: &'static str,
-    expected: &'static str,
-) -> Result<Option<T>, ConfigError> {
+/// Parses an environment variable, if it is set and not empty.
+fn parse_variable<T: FromStr>(name: &'static str, expected: &'static str) -> Result<Option<T>, ConfigError> {
     let Some(value) = std::env::var(name).ok().filter(|value| !value.is_empty()) else { return Ok(None) };
     match value.parse() {
         Ok(parsed) => Ok(Some(parsed)),
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 #[test]
-fn the_operators_file_is_read_and_its_oddities_named() {
+fn the_operators_file_is_parsed_and_invalid_values_are_reported() {
     let whole = include_str!("../../deploy/jsonrpc.toml").replace("# [", "[").replace("# id", "id");
     let commented = [
         "until",
@@ -26,7 +26,7 @@
     assert_eq!((operator.checkers.len(), operator.vrrp.unwrap().vrid), (1, 7));
     assert_eq!(operator.chains.until, Until::Wanted);
     assert_eq!(read_operator("[chains]\nuntil = \"given-up\"").unwrap().chains.until, Until::GivenUp);
-    assert!(read_operator("").unwrap().jsonrpc.is_none(), "off where nothing is said");
+    assert!(read_operator("").unwrap().jsonrpc.is_none(), "off by default");
     let cases = [
         ("[chains]\nuntil = \"later\"", "until"),
         ("[chains]\nsteps = 9", "steps"),
@@ -50,9 +50,9 @@
     }
 }
 
-/// Each of these files would stop or change what is served if anything of it were used.
+/// Each of these files would stop or change the service if any part of it were applied.
 #[test]
-fn a_broken_configuration_takes_no_other_ones_place() {
+fn an_invalid_configuration_does_not_replace_the_one_in_use() {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "deadlineNs": 3, "objectiveNs": 1, "worth": 1.0, "effect": effect, "group": "all",
             "repeatWindowNs": 6})
@@ -92,30 +92,31 @@
         ("/limits", json!(7), "configuration"),
         ("/seed", json!(7), "configuration"),
     ];
-    for (at, value, word) in cases {
+    for (path, value, text) in cases {
         let mut broken = good.clone();
-        *broken.pointer_mut(at).unwrap() = value.clone();
+        *broken.pointer_mut(path).unwrap() = value.clone();
         let error = check(&broken.to_string()).unwrap_err();
-        assert!(error.contains(word), "{at} {value}: {error}");
+        assert!(error.contains(text), "{path} {value}: {error}");
     }
-    // Any key that is missing, wherever it stands.
+    // Each key is removed once.
     let paths =
         ["", "/limits", "/settings", "/settings/bounds", "/settings/contract", "/settings/familyInfo"];
     let paths = paths.into_iter().chain(["/settings/classes/0", "/settings/classes/1"]);
     for path in paths {
         let keys: Vec<String> = good.pointer(path).unwrap().as_object().unwrap().keys().cloned().collect();
         for key in keys {
-            // Discovery's events are of use at a start, and a class that is not keyed needs nothing of keys.
-            let spare = key == "known" || path.ends_with('0') && ["group", "repeatWindowNs"].contains(&&*key);
+            // Discovery's events are only used at startup, and a class that is not keyed needs no key settings.
+            let optional =
+                key == "known" || path.ends_with('0') && ["group", "repeatWindowNs"].contains(&&*key);
             let mut broken = good.clone();
             broken.pointer_mut(path).unwrap().as_object_mut().unwrap().remove(&key);
-            assert_eq!(check(&broken.to_string()).is_ok(), spare, "{path}/{key}");
+            assert_eq!(check(&broken.to_string()).is_ok(), optional, "{path}/{key}");
         }
     }
 }
 
 #[test]
-fn the_configuration_is_read_and_its_oddities_named() {
+fn the_configuration_is_parsed_and_invalid_values_are_reported() {
     let good = r#"{"name":"n3","listen":"10.0.0.4:10080","seed":"8c1f30d27a5be964","bus":"10.2.0.1:8500",
         "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},"known":{"offset":41,"batch":[{"offset":41,"topology":
         {"rev":7,"all":true,"targets":[{"uid":"s-00c41f7a","endpoint":"10.1.0.9:10080","az":"b","model":"std",
@@ -139,15 +140,16 @@
         ("settings", "sittings", "settings"),
         ("}]}}]", "", "column"),
     ];
-    for (from, to, word) in cases {
+    for (from, to, text) in cases {
         let error = read(good.replace(from, to).as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(word), "{from}: {error}");
+        assert!(error.contains(text), "{from}: {error}");
     }
 }
 
-/// Events that are known are left out, but a file with an odd one is refused all the same; and no key stands twice.
+/// Events up to the known offset are dropped, but a file in which one of them is invalid is still rejected, and so is
+/// a file with a duplicate key.
 #[test]
-fn known_events_are_checked_and_left_out() {
+fn known_events_are_checked_and_dropped() {
     let event = |offset: u64, uid: &str| {
         json!({"offset": offset, "topology": {"all": offset == 1, "targets": [{"uid": uid, "az": "a", "model": "std",
             "endpoint": "127.0.0.1:1", "state": "SERVING"}]}})
@@ -161,15 +163,15 @@
     let events = [event(2, "s-00000002"), event(1, "s-00000001"), event(3, "s-00000003")];
     let kept = |after| {
         let config = read_after(file(&events).as_bytes(), after).unwrap();
-        config.known_events.iter().map(|news| news.offset).collect::<Vec<_>>()
+        config.known_events.iter().map(|event| event.offset).collect::<Vec<_>>()
     };
     assert_eq!(kept(None), [1, 2, 3]);
     assert_eq!(kept(Some(2)), [3]);
     assert!(kept(Some(3)).is_empty());
-    let odd = file(&[event(1, "s-1")]);
-    assert!(read_after(odd.as_bytes(), Some(9)).unwrap_err().to_string().contains("uid is 's-1'"));
-    for twice in ["\"listen\":\"127.0.0.1:2\"", "\"known\":{}"] {
-        let text = file(&events).replacen('{', &format!("{{{twice},"), 1);
-        assert!(read(text.as_bytes()).unwrap_err().to_string().contains("duplicate field"), "{twice}");
+    let invalid = file(&[event(1, "s-1")]);
+    assert!(read_after(invalid.as_bytes(), Some(9)).unwrap_err().to_string().contains("uid is 's-1'"));
+    for duplicate in ["\"listen\":\"127.0.0.1:2\"", "\"known\":{}"] {
+        let text = file(&events).replacen('{', &format!("{{{duplicate},"), 1);
+        assert!(read(text.as_bytes()).unwrap_err().to_string().contains("duplicate field"), "{duplicate}");
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -126,7 +126,7 @@
 
 /// Opens the clients' listener at the configured address, or takes the one that the platform has passed on.
 fn listen_for_clients(sources: &Sources, config: &mut Config, reactor: &mut Reactor) -> io::Result<usize> {
-    let (listener, own) = match sources.passed_listener {
+    let (listener, own) = match sources.listen_fd {
         None => retry_while_transient(|| reactor.listen(config.listen))?,
         Some(number) => {
             let with_descriptor = |e: io::Error| {
@@ -206,7 +206,7 @@
             Pipes { end: reactor.watch(end)?, print: reactor.watch(print)?, reload: reactor.watch(reload)? };
         reactor.watch(reload_done)?;
         let listener = listen_for_clients(&sources, &mut config, &mut reactor)?;
-        let upgrade = sources.passed_listener.map(|_| Upgrade::new(&config.name));
+        let upgrade = sources.listen_fd.map(|_| Upgrade::new(&config.name));
         let mgmt = listen_for_operators(&mut config, &mut reactor)?;
         let OperatorParts { rpc, router, fleet, distribution } =
             OperatorParts::open(&operator, &config, upgrade.is_some(), &mut reactor)?;
--- a/src/daemon/upgrade.rs
+++ b/src/daemon/upgrade.rs
@@ -431,9 +431,7 @@
         let saved = config::read(&text).ok()?;
         Some(Config { text, ..saved })
     };
-    let Some(saved) = sources.passed_listener.and_then(|_| saved()).filter(|_| peer_serves()) else {
-        return read;
-    };
+    let Some(saved) = sources.listen_fd.and_then(|_| saved()).filter(|_| peer_serves()) else { return read };
     read.and_then(|(new, operator)| config::check(&new, &saved).map(|()| (new, operator))).or_else(|why| {
         warn!(%why, "upgrade configuration of the old process");
         let operator = sources.operator()?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings text of the wire, turned into the library's settings.
+//! Parses the settings, which are JSON, into the library's types.
 
 mod error;
 mod site;
@@ -11,26 +11,26 @@
 use serde::Deserialize;
 use text::{BoundsText, ClassText, ContractText, FamilyInfoText, PricesText, SettingsText};
 
-/// Reads the settings; the error names what is missing or invalid.
+/// Parses the settings of the policy.
 ///
 /// # Errors
-/// [`SettingsError`] names what is missing or odd.
+/// [`SettingsError`] names what is missing or invalid.
 pub fn read(text: &[u8]) -> Result<Settings, SettingsError> {
     read_site(text).map(|site| site.settings)
 }
 
-/// Reads the settings with what sockets need of them.
+/// Parses the settings of the policy and those of the sockets.
 ///
 /// # Errors
-/// [`SettingsError`] names what is missing or odd.
+/// [`SettingsError`] names what is missing or invalid.
 pub fn read_site(text: &[u8]) -> Result<Site, SettingsError> {
     site(serde_json::from_slice(text).map_err(SettingsError::Malformed)?)
 }
 
-/// The same from settings that have been parsed.
+/// Like [`read_site`], from a JSON value.
 ///
 /// # Errors
-/// [`SettingsError`] names what is missing or odd.
+/// [`SettingsError`] names what is missing or invalid.
 pub fn read_site_value(settings: &serde_json::Value) -> Result<Site, SettingsError> {
     site(SettingsText::deserialize(settings).map_err(SettingsError::Malformed)?)
 }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,12 +1,12 @@
-//! What can be wrong with the settings, in the text that operators see.
+//! Errors of the settings, with the text that operators see.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why settings cannot be used.
+/// Why settings are rejected.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// They are no JSON, or their fields are not those expected.
+    /// The settings are not valid JSON, or their fields don't match the expected ones.
     Malformed(serde_json::Error),
     /// A class lacks a key that its effect needs.
     MissingClassKey {
@@ -15,7 +15,7 @@
         /// The key.
         key: &'static str,
     },
-    /// A class has a value that is none of those defined.
+    /// A class has a value that is not one of those defined.
     UnknownClassValue {
         /// The index of the class.
         class: usize,
@@ -24,7 +24,7 @@
         /// The value.
         value: String,
     },
-    /// What happens at a worker without the function is none of the values defined.
+    /// `familyInfo.notLoaded`, which says what a worker does without the function, is not one of the values defined.
     OnMiss(String),
 }
 
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -1,13 +1,13 @@
-//! The settings of a site, and their replacement while requests are under way.
+//! The settings of a site, and their replacement while requests are open.
 
 use crate::interface::{Duration, Settings};
 
-/// The settings of a site: those of the policy, and those of sockets.
+/// The settings of a site: those of the policy, and those of the sockets.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// The settings of the policy.
     pub settings: Settings,
-    /// Names of the classes, in their order; none for one that a new configuration no longer has.
+    /// Names of the classes, in their order; `None` for a class that the current configuration no longer has.
     pub classes: Vec<Option<String>>,
     /// Names of the zones, in their order.
     pub zones: Vec<String>,
@@ -15,22 +15,22 @@
     pub kinds: Vec<String>,
     /// Names of the values in a load report, in their order.
     pub gauges: Vec<String>,
-    /// Attempts that one connection to a worker carries at a time.
+    /// Most attempts at a time on one connection to a worker.
     pub multiplex: usize,
-    /// Open requests beyond which new ones are refused.
+    /// Most open requests; further ones are refused.
     pub max_open: usize,
-    /// A worker closes a connection that has been idle for so long.
+    /// How long a connection may be idle before the worker closes it.
     pub idle_close: Duration,
-    /// A connection that is not up within this time has failed.
+    /// How long connecting to a worker may take before it has failed.
     pub connect_limit: Duration,
-    /// A load request that has no answer within this time is lost.
+    /// How long a load request may remain unanswered before it is taken for lost.
     pub load_wait: Duration,
-    /// Schedulers may talk to each other.
+    /// Whether schedulers may communicate with each other.
     pub peers: bool,
 }
 
 impl Site {
-    /// The shortest time within which answers of a class are wanted.
+    /// The shortest latency objective of all classes; one second without classes.
     pub fn shortest_latency_objective(&self) -> Duration {
         self.settings
             .classes
@@ -45,29 +45,30 @@
         self.settings.classes.iter().map(|class| class.priority_weight).collect()
     }
 
-    /// The place of a class that new requests may name.
+    /// The index of a class that new requests may name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|known| known.as_deref() == Some(name))
     }
 
-    /// What a new configuration makes of this one. Classes keep their places, for requests under way know theirs
-    /// by it: one that the new configuration lacks, or has with other figures, stays for those requests without a
-    /// name for new ones. Its place is used again once no request is `open` there.
-    pub fn replaced_by(&self, mut new: Site, open: impl Fn(usize) -> bool) -> Site {
+    /// The site after the new configuration has replaced this one. Classes keep their indices, because open requests
+    /// refer to their class by index. A class that the new configuration lacks or changes stays at its index for the
+    /// open requests but has no name, so that new requests cannot use it. Its index is reused once no request of it
+    /// is open, which `is_open` tells.
+    pub fn replaced_by(&self, mut new: Site, is_open: impl Fn(usize) -> bool) -> Site {
         let mut classes = self.settings.classes.clone();
         let mut names: Vec<Option<String>> = Vec::new();
         for (class, name) in classes.iter().zip(&self.classes) {
-            let place = name.as_ref().and_then(|name| new.class(name));
-            let same = place.filter(|place| new.settings.classes[*place] == *class);
-            names.push(same.and_then(|place| new.classes[place].take()));
+            let index = name.as_ref().and_then(|name| new.class(name));
+            let unchanged = index.filter(|index| new.settings.classes[*index] == *class);
+            names.push(unchanged.and_then(|index| new.classes[index].take()));
         }
         for (class, name) in new.settings.classes.iter().zip(&mut new.classes) {
             let Some(name) = name.take() else { continue };
-            let free = (0..names.len()).find(|place| names[*place].is_none() && !open(*place));
+            let free = (0..names.len()).find(|index| names[*index].is_none() && !is_open(*index));
             match free {
-                Some(place) => {
-                    classes[place] = class.clone();
-                    names[place] = Some(name);
+                Some(index) => {
+                    classes[index] = class.clone();
+                    names[index] = Some(name);
                 }
                 None => {
                     classes.push(class.clone());
--- a/src/settings/text.rs
+++ b/src/settings/text.rs
@@ -1,8 +1,8 @@
-//! The form of the settings as JSON.
+//! The JSON form of the settings.
 
 use serde::Deserialize;
 
-/// The whole text.
+/// The complete settings.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct SettingsText {
@@ -59,7 +59,7 @@
     pub(super) allowance_per_s: f64,
 }
 
-/// The rules of the site.
+/// The rules that the site's workers keep.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ContractText {
@@ -71,7 +71,7 @@
     pub(super) drain_grace_ns: u64,
 }
 
-/// What a scheduler may do, and limits of its sockets.
+/// What a scheduler may do, and the limits of its sockets.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct BoundsText {
@@ -96,7 +96,7 @@
     pub(super) connect_timeout_ns: u64,
 }
 
-/// The size of a fleet where none is given: this scheduler is the only one.
+/// The size of the fleet if none is given: this scheduler is the only one.
 fn alone() -> u32 {
     1
 }
@@ -121,7 +121,7 @@
     10_000_000_000
 }
 
-/// The workers' kind of service: loads, instances and memory.
+/// How workers load functions, keep instances and account for memory.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct FamilyInfoText {
@@ -144,7 +144,7 @@
     pub(super) load_wait_ns: u64,
 }
 
-/// Costs, relative to each other.
+/// Costs, relative to each other. Each is 0 if absent.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct PricesText {
@@ -154,14 +154,14 @@
     pub(super) probe: f64,
 }
 
-/// What workers report of their load.
+/// The names of the values in the workers' load reports.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct LoadInfoText {
     pub(super) names: Vec<String>,
 }
 
-/// Grace of a deployment that names none.
+/// The grace of a drain if none is given, in nanoseconds.
 fn two_seconds() -> u64 {
     2_000_000_000
 }
