--- a/src/bin/mintgate-simulator-adapter/codec.rs
+++ b/src/bin/mintgate-simulator-adapter/codec.rs
@@ -1,10 +1,10 @@
-//! The wire's frames and records to and from the library's events and actions.
+//! Decodes the simulator's frames and records into the library's events, and encodes its actions.
 
 use mintgate::*;
 use std::fmt;
 use std::io::{self, Read};
 
-/// What is wrong with the input, and where.
+/// An error in the input or the connection; the text says what is wrong and where.
 #[derive(Debug, PartialEq, Eq)]
 pub struct WireError(pub String);
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// One batch: its clock, its count of records, and their bytes.
+/// A batch: its time, the number of its records, and their bytes.
 #[derive(Debug)]
 pub struct Frame {
     pub now: Timestamp,
@@ -22,7 +22,7 @@
     pub body: Vec<u8>,
 }
 
-/// A record of a batch. `None` stands for a code that is not known.
+/// A record of a batch. `Skipped` is one that is not used or has an unknown code.
 #[derive(Debug)]
 pub enum Record {
     Open { instance: u16, seed: u64, settings: Vec<u8> },
@@ -33,20 +33,21 @@
     Skipped,
 }
 
+/// Fills the buffer as far as the input goes, and returns the number of bytes read.
 fn fill(input: &mut impl Read, buf: &mut [u8], what: &str) -> Result<usize, WireError> {
     let mut got = 0;
     while got < buf.len() {
         match input.read(&mut buf[got..]) {
             Ok(0) => break,
             Ok(n) => got += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(WireError(format!("{what}: cannot read: {e}"))),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(WireError(format!("{what}: cannot read: {error}"))),
         }
     }
     Ok(got)
 }
 
-/// Reads the next batch; `None` at the end of input between two frames.
+/// Reads the next batch; `None` at the end of the input between two batches.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, WireError> {
     let mut head = [0u8; 16];
     match fill(input, &mut head, "batch header")? {
@@ -66,23 +67,26 @@
     let got = input
         .take(wanted as u64)
         .read_to_end(&mut body)
-        .map_err(|e| WireError(format!("batch: cannot read: {e}")))?;
+        .map_err(|error| WireError(format!("batch: cannot read: {error}")))?;
     if got < wanted {
         return Err(WireError(format!("batch: cut short after {got} of {wanted} bytes of records")));
     }
     Ok(Some(Frame { now, count, body }))
 }
 
+/// A cursor over the fields of a record, which are big-endian.
 struct Fields<'a> {
     bytes: &'a [u8],
     at: usize,
+    /// The record's name, for errors.
     name: &'static str,
+    /// The record's position in the batch, for errors.
     base: usize,
 }
 
 impl<'a> Fields<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], WireError> {
-        let end = self.at.checked_add(n).filter(|e| *e <= self.bytes.len());
+        let end = self.at.checked_add(n).filter(|end| *end <= self.bytes.len());
         let Some(end) = end else {
             return Err(WireError(format!(
                 "{} at position {}: {n} bytes wanted at its byte {}, it has {}",
@@ -124,8 +128,8 @@
     }
 
     fn worker(&mut self) -> Result<WorkerId, WireError> {
-        let six: [u8; 6] = self.array()?;
-        Ok(WorkerId(six.iter().fold(0, |id, byte| id << 8 | u64::from(*byte))))
+        let id_bytes: [u8; 6] = self.array()?;
+        Ok(WorkerId(id_bytes.iter().fold(0, |id, byte| id << 8 | u64::from(*byte))))
     }
 
     fn status(&mut self) -> Result<Status, WireError> {
@@ -140,11 +144,11 @@
             1 => Status::Cancelled,
             9 => Status::NotSent,
             5 => Status::Miss,
-            other => return Err(self.odd("status", other, at)),
+            other => return Err(self.unknown_value("status", other, at)),
         })
     }
 
-    fn odd(&self, what: &str, value: u8, at: usize) -> WireError {
+    fn unknown_value(&self, what: &str, value: u8, at: usize) -> WireError {
         let (name, base) = (self.name, self.base);
         WireError(format!("{name} at position {base}: {what} {value} at its byte {at} is not known"))
     }
@@ -158,7 +162,7 @@
         let base = 16 + all.at;
         let code = all.u8().map_err(|_| WireError(format!("record {number} at position {base}: missing")))?;
         let length = all.u32()? as usize;
-        let mut fields = Fields { bytes: &[], at: 0, name: event_name(code), base };
+        let mut fields = Fields { bytes: &[], at: 0, name: record_name(code), base };
         fields.bytes = all.take(length).map_err(|_| {
             WireError(format!("{} at position {base}: its length {length} does not fit", fields.name))
         })?;
@@ -170,8 +174,9 @@
     }
 }
 
-fn event_name(code: u8) -> &'static str {
-    const NAMES: [&str; 13] = [
+/// The name of a record's code, for errors.
+fn record_name(code: u8) -> &'static str {
+    const RECORD_NAMES: [&str; 13] = [
         "record",
         "OPEN_INSTANCE",
         "SYNC",
@@ -186,102 +191,102 @@
         "STANDS",
         "ROSTER",
     ];
-    NAMES.get(usize::from(code)).unwrap_or(&"record")
+    RECORD_NAMES.get(usize::from(code)).unwrap_or(&"record")
 }
 
-fn read_record(code: u8, r: &mut Fields) -> Result<Record, WireError> {
+fn read_record(code: u8, fields: &mut Fields) -> Result<Record, WireError> {
     if code == 12 {
-        let number = r.u16()?;
-        let count = r.u32()?;
+        let number = fields.u16()?;
+        let count = fields.u32()?;
         let mut entries = Vec::new();
         for _ in 0..count {
-            entries.push(read_entry(r)?);
+            entries.push(read_entry(fields)?);
         }
         return Ok(Record::Roster { number, entries });
     }
     if !matches!(code, 1..=3 | 5..=8 | 10 | 11) {
         return Ok(Record::Skipped);
     }
-    let instance = r.u16()?;
+    let instance = fields.u16()?;
     let event = match code {
         1 => {
-            let seed = r.u64()?;
-            let length = r.u32()? as usize;
-            return Ok(Record::Open { instance, seed, settings: r.take(length)?.to_vec() });
+            let seed = fields.u64()?;
+            let length = fields.u32()? as usize;
+            return Ok(Record::Open { instance, seed, settings: fields.take(length)?.to_vec() });
         }
         2 => {
-            r.u32()?;
-            let at = r.at;
-            let kind = match r.u8()? {
+            fields.u32()?;
+            let at = fields.at;
+            let kind = match fields.u8()? {
                 0 => ListKind::Delta,
                 1 => ListKind::Full,
                 2 => ListKind::Cached,
                 3 => ListKind::Failed,
-                other => return Err(r.odd("list kind", other, at)),
+                other => return Err(fields.unknown_value("list kind", other, at)),
             };
-            return Ok(Record::Sync { instance, kind, roster: r.u16()? });
+            return Ok(Record::Sync { instance, kind, roster: fields.u16()? });
         }
-        3 => Event::Request(read_request(r)?),
-        5 => Event::Outcome(read_outcome(r)?),
-        6 => Event::ClientGone(RequestId(r.u32()?)),
+        3 => Event::Request(read_request(fields)?),
+        5 => Event::Outcome(read_outcome(fields)?),
+        6 => Event::ClientGone(RequestId(fields.u32()?)),
         7 => Event::Timeout,
         8 => {
-            r.u64()?;
-            let status = r.status()?;
-            Event::Probed(r.worker()?, status, read_report(r)?)
+            fields.u64()?;
+            let status = fields.status()?;
+            Event::Probed(fields.worker()?, status, read_report(fields)?)
         }
         10 => return Ok(Record::Kill { instance }),
         _ => {
-            let instances = u32::from(r.u8()?);
-            let (worker, latency) = (r.worker()?, Duration(r.u64()?));
-            let (status, function) = (r.status()?, FunctionId(r.u64()?));
+            let instances = u32::from(fields.u8()?);
+            let (worker, latency) = (fields.worker()?, Duration(fields.u64()?));
+            let (status, function) = (fields.status()?, FunctionId(fields.u64()?));
             Event::Loaded(Loaded { worker, function, instances, status, latency })
         }
     };
     Ok(Record::Event { instance, event })
 }
 
-fn read_entry(r: &mut Fields) -> Result<Member, WireError> {
-    let (zone, cell) = (ZoneId(r.u8()?), CellId(r.u16()?));
-    let at = r.at;
-    let state = match r.u8()? {
+fn read_entry(fields: &mut Fields) -> Result<Member, WireError> {
+    let (zone, cell) = (ZoneId(fields.u8()?), CellId(fields.u16()?));
+    let at = fields.at;
+    let state = match fields.u8()? {
         0 => State::Ready,
         1 => State::Draining,
         2 => State::Gone,
-        other => return Err(r.odd("mode", other, at)),
+        other => return Err(fields.unknown_value("mode", other, at)),
     };
-    let (worker, weight) = (r.worker()?, f64::from(r.f32()?));
-    let started = Some(Timestamp(r.u64()?)).filter(|t| t.0 > 0);
-    Ok(Member { worker, zone, cell, state, weight, started, kind: KindId(r.u8()?) })
+    let (worker, weight) = (fields.worker()?, f64::from(fields.f32()?));
+    let started = Some(Timestamp(fields.u64()?)).filter(|t| t.0 > 0);
+    Ok(Member { worker, zone, cell, state, weight, started, kind: KindId(fields.u8()?) })
 }
 
-fn read_request(r: &mut Fields) -> Result<Request, WireError> {
-    let id = RequestId(r.u32()?);
-    let concurrency = f64::from(r.f32()?);
-    let tenant = TenantId(r.u16()?);
-    let load_ms = r.f32()?;
-    let class = ClassId(r.u16()?);
-    let remaining = Duration(r.u64()?);
-    r.u64()?;
-    r.u8()?;
-    let memory_mb = f64::from(r.f32()?);
-    let function = FunctionId(r.u64()?);
+fn read_request(fields: &mut Fields) -> Result<Request, WireError> {
+    let id = RequestId(fields.u32()?);
+    let concurrency = f64::from(fields.f32()?);
+    let tenant = TenantId(fields.u16()?);
+    let load_ms = fields.f32()?;
+    let class = ClassId(fields.u16()?);
+    let remaining = Duration(fields.u64()?);
+    fields.u64()?;
+    fields.u8()?;
+    let memory_mb = f64::from(fields.f32()?);
+    let function = FunctionId(fields.u64()?);
     let load_time = (load_ms > 0.0).then(|| Duration((f64::from(load_ms) * 1e6) as u64));
     Ok(Request { id, function, class, tenant, remaining, memory_mb, concurrency, load_time })
 }
 
-/// Values of a load report, behind their number.
-fn read_report(r: &mut Fields) -> Result<Vec<f32>, WireError> {
-    let count = r.u8()?;
-    (0..count).map(|_| r.f32()).collect()
+/// Reads a load report: the number of its values, then the values.
+fn read_report(fields: &mut Fields) -> Result<Vec<f32>, WireError> {
+    let count = fields.u8()?;
+    (0..count).map(|_| fields.f32()).collect()
 }
 
-fn read_outcome(r: &mut Fields) -> Result<Outcome, WireError> {
-    let (id, attempt) = (RequestId(r.u32()?), r.u16()?);
-    r.worker()?;
-    let status = r.status()?;
-    let (latency, finished, remark) = (Duration(r.u64()?), r.u8()? != 0, r.u8()?);
-    let report = read_report(r)?;
+fn read_outcome(fields: &mut Fields) -> Result<Outcome, WireError> {
+    let (id, attempt) = (RequestId(fields.u32()?), fields.u16()?);
+    fields.worker()?;
+    let status = fields.status()?;
+    let (latency, finished, remark) = (Duration(fields.u64()?), fields.u8()? != 0, fields.u8()?);
+    let report = read_report(fields)?;
     let instance = match remark & 7 {
         1 => InstanceNote::Stood,
         2 => InstanceNote::BeganLoad,
@@ -300,7 +305,7 @@
 }
 
 impl Reply {
-    /// The reply as bytes, header first.
+    /// Returns the reply's bytes, starting with its header.
     pub fn finish(self) -> Vec<u8> {
         let mut bytes = self.count.to_be_bytes().to_vec();
         bytes.extend((self.body.len() as u32).to_be_bytes());
@@ -309,7 +314,7 @@
     }
 
     fn record(&mut self, code: u8, instance: u16, parts: &[&[u8]]) {
-        let length: usize = 2 + parts.iter().map(|p| p.len()).sum::<usize>();
+        let length: usize = 2 + parts.iter().map(|part| part.len()).sum::<usize>();
         self.count += 1;
         self.body.push(code);
         self.body.extend((length as u32).to_be_bytes());
@@ -319,7 +324,7 @@
         }
     }
 
-    /// Reports that an instance cannot go on.
+    /// Reports an error after which an instance cannot be used. The text is limited to 1000 bytes.
     pub fn fault(&mut self, instance: u16, text: &str) {
         let text = &text.as_bytes()[..text.len().min(1000)];
         self.record(3, instance, &[&(text.len() as u16).to_be_bytes(), text]);
@@ -327,8 +332,8 @@
 
     /// Adds an action of an instance.
     pub fn action(&mut self, instance: u16, action: &Action) {
-        let worker_bytes = |w: &WorkerId| -> [u8; 6] {
-            let b = w.0.to_be_bytes();
+        let worker_bytes = |worker: &WorkerId| -> [u8; 6] {
+            let b = worker.0.to_be_bytes();
             [b[2], b[3], b[4], b[5], b[6], b[7]]
         };
         match action {
--- a/src/bin/mintgate-simulator-adapter/main.rs
+++ b/src/bin/mintgate-simulator-adapter/main.rs
@@ -1,4 +1,5 @@
-//! The decisions on the simulator's wire: reads batches, hosts one balancer for each instance, replies.
+//! Connects the policy to the simulator: reads batches of events from standard input, runs one policy per simulated
+//! scheduler, and writes its actions to standard output.
 #![forbid(unsafe_code)]
 
 mod codec;
@@ -9,7 +10,7 @@
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-/// Lists and instances; nothing else is kept between batches.
+/// The state between batches: the worker lists, and the policies of the simulated schedulers.
 #[derive(Default)]
 struct Host {
     rosters: BTreeMap<u16, Vec<Member>>,
@@ -34,16 +35,17 @@
     while let Some(frame) = read_frame(&mut input)? {
         let mut reply = Reply::default();
         for record in read_records(&frame)? {
-            host.take(frame.now, record, &mut actions, &mut reply);
+            host.handle_record(frame.now, record, &mut actions, &mut reply);
         }
         let sent = output.write_all(&reply.finish()).and_then(|()| output.flush());
-        sent.map_err(|e| WireError(format!("reply: cannot write: {e}")))?;
+        sent.map_err(|error| WireError(format!("reply: cannot write: {error}")))?;
     }
     Ok(())
 }
 
 impl Host {
-    fn take(
+    /// Handles a record, and adds the resulting actions to the reply.
+    fn handle_record(
         &mut self,
         now: mintgate::Timestamp,
         record: Record,
--- a/src/chain/tests.rs
+++ b/src/chain/tests.rs
@@ -41,19 +41,21 @@
     Answer { verdict: Verdict::Served(body.to_vec()), expired: false }
 }
 
-fn started(all: &[Action]) -> &IncomingRequest {
-    match all {
-        [Action::Start(incoming), wants @ ..] if wants.iter().all(|d| matches!(d, Action::Prewarm(..))) => {
+fn started(actions: &[Action]) -> &IncomingRequest {
+    match actions {
+        [Action::Start(incoming), rest @ ..]
+            if rest.iter().all(|action| matches!(action, Action::Prewarm(..))) =>
+        {
             incoming
         }
         other => panic!("{other:?}"),
     }
 }
 
-fn ended(all: &[Action]) -> &End {
-    match all {
-        [Action::Finish(OWNER, end), wants @ ..]
-            if wants.iter().all(|d| matches!(d, Action::Prewarm(..))) =>
+fn ended(actions: &[Action]) -> &End {
+    match actions {
+        [Action::Finish(OWNER, end), rest @ ..]
+            if rest.iter().all(|action| matches!(action, Action::Prewarm(..))) =>
         {
             end
         }
@@ -61,13 +63,13 @@
     }
 }
 
-/// Learns that a function takes so long, where a instance stands.
-fn learn(machine: &mut Machine, class: &str, function: u64, ms: u64) {
+/// Records a latency of a function with a loaded instance.
+fn record(machine: &mut Machine, class: &str, function: u64, ms: u64) {
     machine.estimates.record_latency(NOW, FunctionId(function), class, Duration::millis(ms));
 }
 
 #[test]
-fn steps_run_one_after_another_and_have_one_answer() {
+fn steps_run_one_after_another_and_the_chain_has_one_answer() {
     let mut machine = Machine::default();
     let steps =
         vec![step("check", 1, 0, Some(b"a")), step("check", 2, 0, None), step("credit", 3, 0, Some(b"c"))];
@@ -75,26 +77,33 @@
     let mut all = machine.begin(at, chain(steps), &Site);
     for (n, body) in [b"a", b"1", b"c"].into_iter().enumerate() {
         let (owner, incoming) = (started(&all).owner, started(&all));
-        assert_eq!(incoming.deadline, NOW + Duration::millis(1_000), "the last step's wanted time, for all");
+        assert_eq!(
+            incoming.deadline,
+            NOW + Duration::millis(1_000),
+            "the last step's latency objective, for all"
+        );
         assert_eq!((incoming.body.as_slice(), incoming.key.clone()), (&body[..], Some(format!("k.{n}"))));
         assert_eq!(machine.outstanding(), 1);
         at = at + Duration::millis(50);
         all = machine.step_ended(at, owner, served(format!("{}", n + 1).as_bytes()), &Site);
-        assert!(machine.step_ended(at, owner, served(b"late"), &Site).is_empty(), "told twice");
+        assert!(
+            machine.step_ended(at, owner, served(b"late"), &Site).is_empty(),
+            "a second answer is ignored"
+        );
     }
     let end = ended(&all);
     assert_eq!((&end.answer, end.step, end.ran, end.short), (&served(b"3"), 2, 3, None));
     assert_eq!(machine.outstanding(), 0);
 }
 
-/// A cold load in the middle: the first step starts only if all of it fits, and nothing starts in vain.
+/// With a cold start in the middle, the first step starts only if the time left covers the whole chain.
 #[test]
-fn no_step_starts_that_the_time_does_not_cover() {
+fn no_step_starts_unless_the_time_left_covers_the_rest_of_the_chain() {
     for (load, covered) in [(300, true), (950, false)] {
         let mut machine = Machine::default();
         for function in [1, 3] {
-            learn(&mut machine, "check", function, 100);
-            learn(&mut machine, "credit", function, 100);
+            record(&mut machine, "check", function, 100);
+            record(&mut machine, "credit", function, 100);
         }
         let steps =
             vec![step("check", 1, 0, Some(b"")), step("check", 2, load, None), step("credit", 3, 0, None)];
@@ -102,7 +111,7 @@
         assert_eq!(matches!(all[0], Action::Start(_)), covered, "{load}");
         assert!(
             matches!(all[1..], [Action::Prewarm(FunctionId(2), _)]),
-            "ordered ahead, or for the next try"
+            "prewarmed for this try or the next"
         );
         if !covered {
             let end = ended(&all);
@@ -110,7 +119,7 @@
             assert!(matches!(end.answer.verdict, Verdict::Refused { cooldown } if cooldown.0 > 0));
             continue;
         }
-        // It took longer than thought: the second is not started, and the client hears what has run.
+        // The first step took longer than estimated: the second is not started, and the client learns what has run.
         let all = machine.step_ended(NOW + Duration::millis(600), started(&all).owner, served(b""), &Site);
         let end = ended(&all);
         assert_eq!((end.step, end.ran), (1, 1));
@@ -119,15 +128,15 @@
 }
 
 #[test]
-fn an_operator_may_let_chains_take_until_clients_give_up() {
+fn until_given_up_lets_chains_take_until_their_clients_deadline() {
     let mut machine = Machine { until_given_up: true, ..Machine::default() };
     let all = machine.begin(NOW, chain(vec![step("credit", 1, 2_000, Some(b""))]), &Site);
     assert_eq!(started(&all).deadline, NOW + Duration::millis(3_000));
 }
 
-/// The credit step has run and its answer was lost with the chain: a repeat does not run it again.
+/// The credit step has run, but the chain failed after it: a retry uses its cached answer and does not run it again.
 #[test]
-fn a_repeat_takes_the_answers_of_finished_steps_inside_their_window() {
+fn a_retry_uses_cached_answers_within_their_deduplication_window() {
     let steps =
         || vec![step("check", 1, 0, Some(b"a")), step("credit", 2, 0, None), step("credit", 3, 0, None)];
     let mut machine = Machine::default();
@@ -146,14 +155,14 @@
         "the credit step is not run again"
     );
     machine.withdraw(OWNER);
-    // Another content under the same key has no part in it.
+    // A different chain with the same key does not use the cached answer.
     let mut other = steps();
     other[1].function = FunctionId(9);
     let all = machine.begin(NOW, chain(other), &Site);
     let all = machine.step_ended(NOW, started(&all).owner, served(b"1"), &Site);
     assert_eq!(started(&all).function, FunctionId(9));
     machine.withdraw(OWNER);
-    // Once the window has passed it may not run again, and what came of it is no longer known.
+    // After the window the step must not run again, and its result is no longer known.
     let late = NOW + Duration::millis(6_000);
     let all =
         machine.begin(late, Chain { deadline: late + Duration::millis(3_000), ..chain(steps()) }, &Site);
@@ -162,9 +171,9 @@
     assert_eq!((end.step, end.ran, end.unknown), (1, 1, true));
 }
 
-/// A credit step that went out and had no answer: sent again inside its window, and not a moment later.
+/// A credit step was sent and not answered: it is sent again within its deduplication window, and not after it.
 #[test]
-fn a_step_that_may_have_run_is_sent_again_inside_its_window_only() {
+fn a_step_that_may_have_run_is_sent_again_only_within_its_window() {
     for (at, sent) in [(0, true), (5_500, true), (5_900, false), (60_000, false)] {
         let mut machine = Machine::default();
         let steps = || vec![step("credit", 2, 0, Some(b"c"))];
@@ -187,16 +196,20 @@
     for n in 0..2 * MAX_MAY_HAVE_RUN {
         machine.may_have_run(NOW, &n.to_string(), NOW);
     }
-    assert_eq!((machine.out.len(), machine.out_order.len()), (MAX_MAY_HAVE_RUN, MAX_MAY_HAVE_RUN));
-    machine.may_have_run(NOW + MAY_HAVE_RUN_LASTS, "last", NOW);
-    assert_eq!(machine.out.len(), 1);
+    assert_eq!(
+        (machine.first_sent.len(), machine.first_sent_order.len()),
+        (MAX_MAY_HAVE_RUN, MAX_MAY_HAVE_RUN)
+    );
+    machine.may_have_run(NOW + MAY_HAVE_RUN_RETENTION, "last", NOW);
+    assert_eq!(machine.first_sent.len(), 1);
 }
 
 proptest! {
     #![proptest_config(crate::proptest_config())]
 
-    /// Chains, ends of steps, clients that leave and time in any order: one end each, no step before the one
-    /// before it was served, none that the time does not cover, no credit step beyond what its key allows.
+    /// With chains, answers of steps, withdrawals and time in any order, each chain ends exactly once, no step starts
+    /// before its predecessor was served or when the time left does not cover it, and no credit step is sent after its
+    /// deduplication window.
     #[test]
     fn any_order_of_events_keeps_the_rules_of_chains(
         ops in prop::collection::vec((0u8..5, 0usize..6, 0u64..40), 1..80)
@@ -206,7 +219,7 @@
         let mut owed: BTreeMap<Owner, (Vec<Step>, usize)> = BTreeMap::new();
         let mut first_out: BTreeMap<String, Timestamp> = BTreeMap::new();
         for (op, pick, n) in ops {
-            let mut all = vec![];
+            let mut actions = vec![];
             match op {
                 0 => {
                     stream += 1;
@@ -217,7 +230,7 @@
                     owed.insert(owner, (steps.clone(), 0));
                     let deadline = now + Duration::millis(500 + n * 100);
                     let key = Some(format!("k{}", pick / 3));
-                    all = machine.begin(now, Chain { owner, key, deadline, steps }, &Site);
+                    actions = machine.begin(now, Chain { owner, key, deadline, steps }, &Site);
                 }
                 1 | 2 if !running.is_empty() => {
                     let step = running.swap_remove(pick % running.len());
@@ -226,15 +239,15 @@
                     if step.class == "credit" {
                         machine.may_have_run(now, &key, *first_out.get(&key).unwrap());
                     }
-                    all = machine.step_ended(now, step.owner, answer, &Site);
+                    actions = machine.step_ended(now, step.owner, answer, &Site);
                 }
                 3 => {
                     if let Some(owner) = owed.keys().nth(pick).copied() {
                         owed.remove(&owner);
-                        let off = machine.withdraw(owner);
-                        prop_assert!(matches!(off[..], [Action::Withdraw(_)]));
-                        for what in off {
-                            let Action::Withdraw(step) = what else { continue };
+                        let withdrawn = machine.withdraw(owner);
+                        prop_assert!(matches!(withdrawn[..], [Action::Withdraw(_)]));
+                        for action in withdrawn {
+                            let Action::Withdraw(step) = action else { continue };
                             let Some(at) = running.iter().position(|r| r.owner == step) else { continue };
                             let key = running.swap_remove(at).key.unwrap();
                             if let Some(first) = first_out.get(&key) {
@@ -245,30 +258,30 @@
                 }
                 _ => now = now + Duration::millis(n * n),
             }
-            for what in all {
-                match what {
+            for action in actions {
+                match action {
                     Action::Start(step) => {
-                        let open = machine.open.values().find(|open| name_of(&machine, open) == step.owner);
-                        let open = open.expect("of an open chain");
+                        let open = machine.open.values().find(|open| current_step_owner(&machine, open) == step.owner);
+                        let open = open.expect("the step belongs to an open chain");
                         let (owner, at) = (open.chain.owner, open.step);
-                        let (steps, ran) = owed.get_mut(&owner).expect("owed");
-                        prop_assert!(at >= *ran, "no step twice in a try");
+                        let (steps, ran) = owed.get_mut(&owner).expect("the chain has not been answered");
+                        prop_assert!(at >= *ran, "a step started twice in a try");
                         *ran = at;
-                        let need = along(&needs(&machine.estimates, now, &steps[at..], &Site)).0;
-                        prop_assert!((open.chain.deadline - now).0 >= need, "not covered");
+                        let need = total_time(&needs(&machine.estimates, now, &steps[at..], &Site)).0;
+                        prop_assert!((open.chain.deadline - now).0 >= need, "the time left does not cover the rest of the chain");
                         if step.class == "credit" {
                             let first = *first_out.entry(step.key.clone().unwrap()).or_insert(now);
-                            prop_assert!(now < first + Duration::millis(6_000) - DEDUP_WINDOW_MARGIN, "beyond its key");
+                            prop_assert!(now < first + Duration::millis(6_000) - DEDUP_WINDOW_MARGIN, "sent after its deduplication window");
                         }
                         running.push(step);
                     }
                     Action::Finish(owner, end) => {
-                        let (steps, _) = owed.remove(&owner).expect("one end each");
-                        let all = matches!(end.answer.verdict, Verdict::Served(_));
-                        prop_assert_eq!(all, end.ran == steps.len());
+                        let (steps, _) = owed.remove(&owner).expect("the chain ends once");
+                        let served = matches!(end.answer.verdict, Verdict::Served(_));
+                        prop_assert_eq!(served, end.ran == steps.len());
                     }
                     Action::Prewarm(..) => {}
-                    Action::Withdraw(_) => prop_assert!(false, "nobody has left"),
+                    Action::Withdraw(_) => prop_assert!(false, "no client has left"),
                 }
             }
             prop_assert_eq!((machine.outstanding(), running.len()), (owed.len(), owed.len()));
@@ -276,13 +289,13 @@
     }
 }
 
-fn name_of(machine: &Machine, open: &Open) -> Owner {
-    let id = machine.open.iter().find(|(_, o)| std::ptr::eq(*o, open)).map(|(id, _)| *id);
-    name(id.unwrap_or_default(), open.step)
+fn current_step_owner(machine: &Machine, chain: &OpenChain) -> Owner {
+    let id = machine.open.iter().find(|(_, open)| std::ptr::eq(*open, chain)).map(|(id, _)| *id);
+    step_owner(id.unwrap_or_default(), chain.step)
 }
 
 #[test]
-fn a_client_that_leaves_calls_its_step_off() {
+fn withdrawing_a_chain_withdraws_its_step_and_invalid_chains_end_at_once() {
     let mut machine = Machine::default();
     let all = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b""))]), &Site);
     let owner = started(&all).owner;
@@ -290,15 +303,19 @@
     assert!(
         machine.withdraw(OWNER).is_empty() && machine.step_ended(NOW, owner, served(b""), &Site).is_empty()
     );
-    // A repeat while the first is open waits for it; another chain under its key is none.
+    // A retry while the first try is open is refused; a different chain with its key fails.
     let open = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b""))]), &Site);
-    let twin = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b""))]), &Site);
-    assert!(matches!(ended(&twin).answer.verdict, Verdict::Refused { .. }));
+    let retry = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b""))]), &Site);
+    assert!(matches!(ended(&retry).answer.verdict, Verdict::Refused { .. }));
     let other = machine.begin(NOW, chain(vec![step("check", 2, 0, Some(b""))]), &Site);
     assert_eq!(ended(&other).answer.verdict, Verdict::Failed);
     assert_eq!(machine.step_ended(NOW, started(&open).owner, served(b""), &Site).len(), 1);
     let many = machine.begin(NOW, chain(vec![step("check", 1, 0, Some(b"")); MAX_STEPS + 1]), &Site);
-    assert_eq!(ended(&many).answer.verdict, Verdict::Failed, "its steps would be taken for another's");
+    assert_eq!(
+        ended(&many).answer.verdict,
+        Verdict::Failed,
+        "its last step would have the owner of another chain's first"
+    );
     let unknown = machine.begin(NOW, chain(vec![step("none", 1, 0, Some(b""))]), &Site);
     assert_eq!(ended(&unknown).answer.verdict, Verdict::Failed);
 }
--- a/src/config/distribution/tests.rs
+++ b/src/config/distribution/tests.rs
@@ -1,7 +1,8 @@
 use super::super::read_operator;
 use super::Role;
 
-const SUBSCRIBER_FILE: &str = r#"[distribution]
+/// The operator's file of a subscriber.
+const SUBSCRIBER: &str = r#"[distribution]
 name = "tyww"
 bind = "127.0.0.41:9300"
 role = "subscriber"
@@ -9,7 +10,8 @@
 zones = ["a"]
 "#;
 
-const REPLICA_FILE: &str = r#"[distribution]
+/// The operator's file of a replica.
+const REPLICA: &str = r#"[distribution]
 name = "tyww"
 bind = "127.0.0.61:9300"
 role = "replica"
@@ -43,9 +45,9 @@
         read(file).catch_up_bytes_per_second,
         "the file states the default"
     );
-    assert_eq!(parse_and_check(SUBSCRIBER_FILE, SITE_SETTINGS), Ok(()));
-    assert_eq!(parse_and_check(REPLICA_FILE, SITE_SETTINGS), Ok(()));
-    let idle = REPLICA_FILE.replace("[fleet]\n", "[fleet]\nparts = 0\n");
+    assert_eq!(parse_and_check(SUBSCRIBER, SITE_SETTINGS), Ok(()));
+    assert_eq!(parse_and_check(REPLICA, SITE_SETTINGS), Ok(()));
+    let idle = REPLICA.replace("[fleet]\n", "[fleet]\nparts = 0\n");
     assert_eq!(parse_and_check(&idle, SITE_SETTINGS), Ok(()), "a replica's fleet may have no parts");
     let relay = idle
         .replace("role = \"replica\"\nreplicas", "role = \"relay\"\nparents")
@@ -61,59 +63,49 @@
     let many: Vec<String> = (1..=17).map(|n| format!("\"127.0.0.{n}:9300\"")).collect();
     let many = format!("parents = [{}]", many.join(","));
     let cases = [
-        (SUBSCRIBER_FILE, "name = \"tyww\"", "name = \"\"", "distribution.name is empty"),
-        (SUBSCRIBER_FILE, "name = \"tyww\"\n", "", "missing field `name`"),
-        (SUBSCRIBER_FILE, "role = \"subscriber\"", "role = \"owner\"", "unknown variant"),
-        (SUBSCRIBER_FILE, "127.0.0.41:", "0.0.0.0:", "0.0.0.0:9300 is none"),
-        (SUBSCRIBER_FILE, "127.0.0.52:", "10.0.0.52:", "10.0.0.52:9300 is none"),
-        (SUBSCRIBER_FILE, "127.0.0.52:", "127.0.0.51:", "distribution.parents names 127.0.0.51:9300 twice"),
-        (SUBSCRIBER_FILE, "127.0.0.52:", "127.0.0.41:", "distribution.parents names bind"),
-        (SUBSCRIBER_FILE, parents, "", "distribution.parents has 0 entries"),
-        (SUBSCRIBER_FILE, parents, many.as_str(), "distribution.parents has 17 entries"),
+        (SUBSCRIBER, "name = \"tyww\"", "name = \"\"", "distribution.name is empty"),
+        (SUBSCRIBER, "name = \"tyww\"\n", "", "missing field `name`"),
+        (SUBSCRIBER, "role = \"subscriber\"", "role = \"owner\"", "unknown variant"),
+        (SUBSCRIBER, "127.0.0.41:", "0.0.0.0:", "0.0.0.0:9300 is none"),
+        (SUBSCRIBER, "127.0.0.52:", "10.0.0.52:", "10.0.0.52:9300 is none"),
+        (SUBSCRIBER, "127.0.0.52:", "127.0.0.51:", "distribution.parents names 127.0.0.51:9300 twice"),
+        (SUBSCRIBER, "127.0.0.52:", "127.0.0.41:", "distribution.parents names bind"),
+        (SUBSCRIBER, parents, "", "distribution.parents has 0 entries"),
+        (SUBSCRIBER, parents, many.as_str(), "distribution.parents has 17 entries"),
         (
-            SUBSCRIBER_FILE,
+            SUBSCRIBER,
             "zones",
             "replicas = [\"127.0.0.61:9300\"]\nzones",
             "distribution.replicas is for replicas",
         ),
-        (SUBSCRIBER_FILE, "zones", "speed = 1\nzones", "unknown field"),
-        (SUBSCRIBER_FILE, "\"a\"", "\"c\"", "distribution.zones names 'c'"),
-        (SUBSCRIBER_FILE, "\"a\"", "\"a\", \"a\"", "distribution.zones names 'a'"),
-        (SUBSCRIBER_FILE, "subscriber", "relay", "distribution.zones is for subscribers"),
+        (SUBSCRIBER, "zones", "speed = 1\nzones", "unknown field"),
+        (SUBSCRIBER, "\"a\"", "\"c\"", "distribution.zones names 'c'"),
+        (SUBSCRIBER, "\"a\"", "\"a\", \"a\"", "distribution.zones names 'a'"),
+        (SUBSCRIBER, "subscriber", "relay", "distribution.zones is for subscribers"),
         (
-            SUBSCRIBER_FILE,
+            SUBSCRIBER,
             "zones",
             "catch_up_bytes_per_second = 16383\nzones",
             "distribution.catch_up_bytes_per_second",
         ),
+        (SUBSCRIBER, "zones", "catch_up_bytes_per_second = 1250000001\nzones", "distribution.catch_up_bytes"),
+        (REPLICA, ", \"127.0.0.63:9300\"", "", "distribution.replicas has 2 entries"),
         (
-            SUBSCRIBER_FILE,
-            "zones",
-            "catch_up_bytes_per_second = 1250000001\nzones",
-            "distribution.catch_up_bytes",
-        ),
-        (REPLICA_FILE, ", \"127.0.0.63:9300\"", "", "distribution.replicas has 2 entries"),
-        (
-            REPLICA_FILE,
+            REPLICA,
             "\"127.0.0.63:9300\"",
             "\"127.0.0.62:9300\"",
             "distribution.replicas names 127.0.0.62:9300 twice",
         ),
-        (REPLICA_FILE, "bind = \"127.0.0.61", "bind = \"127.0.0.60", "distribution.replicas lacks bind"),
-        (
-            REPLICA_FILE,
-            "role",
-            "parents = [\"127.0.0.51:1\"]\nrole",
-            "distribution.parents is for subscribers",
-        ),
-        (REPLICA_FILE, "role", "zones = [\"a\"]\nrole", "distribution.zones is for subscribers"),
+        (REPLICA, "bind = \"127.0.0.61", "bind = \"127.0.0.60", "distribution.replicas lacks bind"),
+        (REPLICA, "role", "parents = [\"127.0.0.51:1\"]\nrole", "distribution.parents is for subscribers"),
+        (REPLICA, "role", "zones = [\"a\"]\nrole", "distribution.zones is for subscribers"),
     ];
     for (text, from, to, why) in cases {
         assert!(text.contains(from), "{from}");
         let error = parse_and_check(&text.replacen(from, to, 1), SITE_SETTINGS).unwrap_err();
         assert!(error.starts_with("operator's file: ") && error.contains(why), "{to}: {error}");
     }
-    let without_fleet = REPLICA_FILE.split("[fleet]").next().unwrap();
+    let without_fleet = REPLICA.split("[fleet]").next().unwrap();
     assert!(
         parse_and_check(without_fleet, SITE_SETTINGS)
             .unwrap_err()
@@ -121,7 +113,7 @@
     );
     let without_peers = SITE_SETTINGS.replace("\"peers\": true", "\"peers\": false");
     assert!(
-        parse_and_check(SUBSCRIBER_FILE, &without_peers)
+        parse_and_check(SUBSCRIBER, &without_peers)
             .unwrap_err()
             .contains("bounds.peers of the settings is false")
     );
--- a/src/ops/http.rs
+++ b/src/ops/http.rs
@@ -1,33 +1,33 @@
-//! The words of the second address: HTTP/1.1 with one call a connection. A pure codec.
+//! The protocol of the second address: HTTP/1.1 with one request per connection. A codec without I/O.
 
 use crate::config::read_worker;
 use crate::interface::WorkerId;
 
-/// Longest head of a call.
+/// Longest head of a request: its request line and headers.
 pub const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Most header lines of a call.
+/// Most header lines of a request.
 const MAX_HEADERS: usize = 64;
 
-/// What an operator wants.
+/// A request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
     /// Whether this process is ready to serve.
     Ready,
     /// The figures.
     Figures,
-    /// Who is in the fleet, and who holds which task.
+    /// The members of the fleet and the holders of its tasks.
     Fleet,
-    /// Leave a worker out.
+    /// Cordon a worker.
     Exclude(WorkerId),
-    /// Put it back.
+    /// Uncordon a worker.
     Include(WorkerId),
 }
 
-/// Why an operator gets a no: a status and a line that says what is wrong.
+/// An error response: the HTTP status and a line that says what is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpError(pub u16, pub &'static str);
 
-/// Reads a call; `Ok(None)` where its head is not whole yet.
+/// Parses a request; `Ok(None)` if its head is incomplete.
 ///
 /// # Errors
 /// [`HttpError`] holds the status and the line to answer with.
@@ -73,7 +73,7 @@
     }
 }
 
-/// The one worker that a query names.
+/// Parses the one worker that a query names.
 fn read_name(query: &str) -> Result<WorkerId, HttpError> {
     let names: Vec<&str> = query.split('&').filter_map(|part| part.strip_prefix("name=")).collect();
     match names.as_slice() {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Writes an answer: a 2xx is a yes.
+/// Writes a response with a plain text body.
 pub fn answer(status: u16, text: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/src/ops/http/tests.rs
+++ b/src/ops/http/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 use proptest::prelude::*;
 
-const BOX: WorkerId = WorkerId(0xc4_1f7a);
+const WORKER: WorkerId = WorkerId(0xc4_1f7a);
 
 fn head(line: &str) -> Vec<u8> {
     format!("{line} HTTP/1.1\r\nHost: 127.0.0.1\r\nAccept: */*\r\n\r\n").into_bytes()
 }
 
 #[test]
-fn calls_are_read() {
+fn requests_are_parsed() {
     let cases = [
         ("GET /api/ready", Ok(OperatorRequest::Ready)),
         ("GET /api/telemetry", Ok(OperatorRequest::Figures)),
         ("GET /api/telemetry?x=1", Ok(OperatorRequest::Figures)),
         ("GET /api/fleet", Ok(OperatorRequest::Fleet)),
         ("POST /api/fleet", Err(405)),
-        ("POST /api/exclude?name=s-00c41f7a", Ok(OperatorRequest::Exclude(BOX))),
-        ("POST /api/include?name=s-00c41f7a", Ok(OperatorRequest::Include(BOX))),
+        ("POST /api/exclude?name=s-00c41f7a", Ok(OperatorRequest::Exclude(WORKER))),
+        ("POST /api/include?name=s-00c41f7a", Ok(OperatorRequest::Include(WORKER))),
         ("POST /api/ready", Err(405)),
         ("GET /api/exclude?name=s-00c41f7a", Err(405)),
         ("GET /api/else", Err(404)),
@@ -30,14 +30,14 @@
         ("POST /api/exclude?name=s-00c41f7a&name=s-00c41f7b", Err(400)),
     ];
     for (line, expected) in cases {
-        let got = read(&head(line)).map(|call| call.unwrap()).map_err(|no| no.0);
+        let got = read(&head(line)).map(|request| request.unwrap()).map_err(|error| error.0);
         assert_eq!(got, expected, "{line}");
     }
 }
 
-/// What is not one whole call without a body changes nothing.
+/// Input that is not exactly one complete request without a body is rejected, so that it changes nothing.
 #[test]
-fn odd_calls_get_a_no() {
+fn invalid_requests_are_rejected() {
     let post = |rest: &str| format!("POST /api/exclude?name=s-00c41f7a HTTP/1.1\r\n{rest}").into_bytes();
     let cases: Vec<(Vec<u8>, u16)> = vec![
         (post("Content-Length: 4\r\n\r\nbody"), 400),
@@ -52,10 +52,10 @@
     ];
     for (bytes, status) in cases {
         let text = String::from_utf8_lossy(&bytes[..bytes.len().min(60)]).into_owned();
-        assert_eq!(read(&bytes).map_err(|no| no.0), Err(status), "{text}");
+        assert_eq!(read(&bytes).map_err(|error| error.0), Err(status), "{text}");
     }
     let whole = post("Content-Length: 0\r\n\r\n");
-    assert_eq!(read(&whole), Ok(Some(OperatorRequest::Exclude(BOX))));
+    assert_eq!(read(&whole), Ok(Some(OperatorRequest::Exclude(WORKER))));
     for cut in 0..whole.len() {
         assert_eq!(read(&whole[..cut]), Ok(None), "{cut}");
     }
@@ -64,21 +64,21 @@
 proptest! {
     #![proptest_config(crate::proptest_config())]
 
-    /// Whatever comes, only a whole call of the two names a worker.
+    /// Random bytes are never parsed as a request.
     #[test]
-    fn noise_is_no_call(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_are_not_a_request(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(!matches!(read(&bytes), Ok(Some(_))));
     }
 
-    /// A call that is damaged at one byte is another call, a no, or not whole; nobody else is named but by
-    /// its id.
+    /// A request with one changed byte is another request, an error or incomplete. It never names a worker whose id
+    /// is not in the text.
     #[test]
-    fn a_damaged_call_names_no_other_worker(at in 0usize..34, byte in any::<u8>()) {
+    fn a_request_with_a_changed_byte_names_no_other_worker(at in 0usize..34, byte in any::<u8>()) {
         let mut bytes = head("POST /api/exclude?name=s-00c41f7a");
         bytes[at] = byte;
-        if let Ok(Some(call)) = read(&bytes) {
+        if let Ok(Some(request)) = read(&bytes) {
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            let named = match call {
+            let named = match request {
                 OperatorRequest::Exclude(WorkerId(id)) | OperatorRequest::Include(WorkerId(id)) => id,
                 _ => u64::MAX,
             };
--- a/src/ops/mgmt.rs
+++ b/src/ops/mgmt.rs
@@ -5,14 +5,14 @@
 use crate::interface::{Duration, Timestamp};
 use crate::net::{BufferLimits, Connection, Context, ControlFlow, Link};
 
-/// Operators at a time; they live on descriptors that are reserved beside clients' and workers'.
+/// Most operator connections at a time. Their descriptors are reserved apart from those of clients and workers.
 pub const OPERATOR_CONNECTIONS: usize = 12;
-/// Buffers of an operator's connection: a head, and an answer that waits.
+/// Buffer sizes of an operator's connection: a request's head, and a response that has not been sent.
 pub const OPERATOR_BUFFER_LIMITS: BufferLimits = BufferLimits { input: MAX_HEAD_BYTES + 1, output: 64 << 10 };
-/// A call must have come whole within this time, and its answer must be read within as long again.
+/// How long a request may take to arrive completely, and its response to be read by the operator.
 const REQUEST_TIMEOUT: Duration = Duration::millis(2_000);
 
-/// One call, then the end.
+/// An operator's connection: it serves one request and closes.
 pub struct MgmtConnection {
     arrived_at: Timestamp,
     answered: Option<Timestamp>,
@@ -24,8 +24,8 @@
         MgmtConnection { arrived_at: now, answered: None }
     }
 
-    fn carry_out(call: OperatorRequest, context: &mut Context) -> Result<String, HttpError> {
-        let done = match call {
+    fn carry_out(request: OperatorRequest, context: &mut Context) -> Result<String, HttpError> {
+        let result = match request {
             OperatorRequest::Ready if context.ready && context.accepting && context.core.places() => {
                 return Ok("ready\n".to_owned());
             }
@@ -49,7 +49,7 @@
             OperatorRequest::Exclude(worker) => context.core.cordon(context.now, worker),
             OperatorRequest::Include(worker) => context.core.uncordon(context.now, worker),
         };
-        match done {
+        match result {
             CordonResult::Changed | CordonResult::Unchanged => Ok("done\n".to_owned()),
             CordonResult::Unknown => Err(HttpError(404, "nobody has this id")),
             CordonResult::TooMany => Err(HttpError(503, "too many are out by hand")),
@@ -76,7 +76,7 @@
         "operator"
     }
 
-    fn opened(&mut self, _link: &mut Link, _hub: &mut Context) -> ControlFlow {
+    fn opened(&mut self, _link: &mut Link, _context: &mut Context) -> ControlFlow {
         ControlFlow::Continue
     }
 
@@ -84,11 +84,11 @@
         match http::read(&link.input) {
             Ok(None) if link.peer_closed => ControlFlow::Close,
             Ok(None) => ControlFlow::Continue,
-            Ok(Some(call)) => {
-                let answer = MgmtConnection::carry_out(call, context);
+            Ok(Some(request)) => {
+                let answer = MgmtConnection::carry_out(request, context);
                 self.answer(answer, link, context)
             }
-            Err(no) => self.answer(Err(no), link, context),
+            Err(error) => self.answer(Err(error), link, context),
         }
     }
 
@@ -103,5 +103,5 @@
         Some(self.answered.unwrap_or(self.arrived_at) + REQUEST_TIMEOUT)
     }
 
-    fn closed(&mut self, _link: &Link, _hub: &mut Context) {}
+    fn closed(&mut self, _link: &Link, _context: &mut Context) {}
 }
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! Daily operation: the second address, its figures, and workers that are out by hand.
+//! The operators' interface at the second address: readiness, figures, fleet status and cordoned workers.
 
 pub mod http;
 mod mgmt;
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -1,8 +1,8 @@
-//! VRRP (RFC 9568): which of several daemons takes new requests on the fronts of its host.
+//! VRRP (RFC 9568): decides which of several daemons accepts new requests on the JSON-RPC front.
 //!
-//! [`Machine`] is the protocol's state machine without I/O; [`packet`] is version 3's advertisement. The
-//! daemon carries advertisements over UDP between peers that the operator names, in place of IP multicast:
-//! a datagram from anyone else is dropped, which stands for the protocol's check of the TTL.
+//! [`Machine`] is the protocol's state machine without I/O; [`packet`] is the advertisement of version 3. Instead of
+//! IP multicast, the daemon sends advertisements over UDP to peers that the operator configures. A datagram from any
+//! other sender is dropped, which replaces the protocol's check of the TTL.
 
 pub mod packet;
 
@@ -14,41 +14,41 @@
 pub enum State {
     /// Not started, or shut down.
     Initialize,
-    /// Watches the active one.
+    /// Monitors the active router.
     Backup,
-    /// Takes new requests.
+    /// Accepts new requests.
     Active,
 }
 
-/// What a virtual router is set to.
+/// The configuration of a virtual router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// 1 to 254; 255 is the owner of the address, always active while it runs.
+    /// 1 to 254, or 255 for the owner of the address, which is always active while it runs.
     pub priority: u8,
-    /// Time between advertisements of this one while it is active.
+    /// Time between advertisements while this router is active.
     pub interval: Duration,
-    /// Whether it takes over from an active one of lower priority.
+    /// Whether this router takes over from an active one of lower priority.
     pub preempt: bool,
-    /// Its own address: between equal priorities the higher address wins.
+    /// This router's own address: between equal priorities the higher address wins.
     pub own_address: SocketAddr,
 }
 
-/// What happens to the machine.
+/// An event that the state machine handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The daemon serves.
+    /// The daemon has begun to serve.
     Startup,
-    /// The daemon is about to end.
+    /// The daemon is about to exit.
     Shutdown,
-    /// The time of [`Machine::next_timeout`] has come.
+    /// The timer of [`Machine::next_timeout`] has expired.
     Timer,
-    /// A valid advertisement of this virtual router has come.
+    /// A valid advertisement of this virtual router was received.
     Advertisement {
-        /// Its sender's priority; 0 says that the sender stops.
+        /// The sender's priority; 0 means that the sender stops.
         priority: u8,
-        /// Its sender's time between advertisements.
+        /// The sender's time between advertisements.
         interval: Duration,
-        /// Its sender.
+        /// The sender's address.
         from: SocketAddr,
     },
 }
@@ -56,7 +56,7 @@
 /// An advertisement to send to all peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Advertise {
-    /// With this priority.
+    /// The priority in the advertisement.
     pub priority: u8,
 }
 
@@ -67,38 +67,38 @@
     state: State,
     /// Adver_Timer while active, Active_Down_Timer while in backup.
     timer: Option<Timestamp>,
-    /// Active_Adver_Interval: as the active one tells it.
+    /// Active_Adver_Interval: the interval in the advertisements of the active router.
     active_interval: Duration,
 }
 
 impl Machine {
-    /// A machine in Initialize.
+    /// Creates a machine in the state Initialize.
     pub fn new(config: RouterConfig) -> Machine {
         let active_interval = config.interval;
         Machine { config, state: State::Initialize, timer: None, active_interval }
     }
 
-    /// Its state.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// When [`Event::Timer`] is to be given.
+    /// When [`Event::Timer`] has to be passed to [`Machine::handle`].
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.timer
     }
 
-    /// Skew_Time: the higher the priority, the sooner a backup steps in.
+    /// Skew_Time: the higher the priority, the sooner a backup becomes active.
     fn skew(&self) -> Duration {
         Duration((256 - u64::from(self.config.priority)) * self.active_interval.0 / 256)
     }
 
-    /// Active_Down_Interval: three advertisements missed, and the skew.
+    /// Active_Down_Interval: the time of three missed advertisements plus the skew time.
     fn active_down(&self) -> Duration {
         Duration(3 * self.active_interval.0 + self.skew().0)
     }
 
-    /// Takes in what has happened; says whether an advertisement is to be sent.
+    /// Handles an event, and returns the advertisement to send, if any.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Option<Advertise> {
         match (self.state, event) {
             (State::Initialize, Event::Startup) => match self.config.priority {
@@ -117,7 +117,7 @@
             (State::Backup, Event::Timer) if self.timer.is_some_and(|at| at <= now) => self.rise(now),
             (State::Active, Event::Timer) if self.timer.is_some_and(|at| at <= now) => self.advertise(now),
             (_, Event::Timer | Event::Startup) => None,
-            // The owner of the address heeds nobody.
+            // The owner of the address ignores all advertisements.
             (_, Event::Advertisement { .. }) if self.config.priority == 255 => None,
             (State::Backup, Event::Advertisement { priority: 0, .. }) => {
                 self.timer = Some(now + self.skew());
@@ -136,7 +136,7 @@
                     self.active_interval = interval;
                     return self.watch(now);
                 }
-                // Tells the other one at once that this one is active.
+                // Notifies the other router immediately that this one is active.
                 self.advertise(now)
             }
         }
--- a/src/vrrp/packet.rs
+++ b/src/vrrp/packet.rs
@@ -1,19 +1,19 @@
-//! Version 3's advertisement, as bytes.
+//! The byte format of the advertisement of VRRP version 3.
 
 use crate::interface::Duration;
 use std::net::Ipv4Addr;
 
-/// Largest datagram that can hold one: 255 addresses.
+/// Largest size of an advertisement: its header and 255 addresses.
 pub const MAX_ADVERTISEMENT_BYTES: usize = 8 + 4 * 255;
-/// Longest interval, in centiseconds: 12 bits.
+/// Longest interval, in centiseconds: the field has 12 bits.
 pub const MAX_INTERVAL_CS: u16 = 0x0fff;
 
-/// An advertisement.
+/// An advertisement: the sender is active, or stops.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// Which virtual router.
+    /// The number of the virtual router.
     pub vrid: u8,
-    /// The sender's priority; 0 where it stops.
+    /// The sender's priority; 0 if it stops.
     pub priority: u8,
     /// Max Advertise Interval, in centiseconds.
     pub interval: u16,
@@ -22,12 +22,12 @@
 }
 
 impl Advertisement {
-    /// The interval as a span.
+    /// The interval as a [`Duration`].
     pub fn interval_duration(&self) -> Duration {
         Duration::millis(u64::from(self.interval) * 10)
     }
 
-    /// The message as it is sent.
+    /// Encodes the message.
     pub fn write(&self) -> Vec<u8> {
         let [high, low] = (self.interval & MAX_INTERVAL_CS).to_be_bytes();
         let mut bytes = vec![0x31, self.vrid, self.priority, self.addresses.len() as u8, high, low, 0, 0];
@@ -37,10 +37,10 @@
         bytes
     }
 
-    /// Reads a message; the error says why it is to be dropped.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// The message is cut short, of another version or type, or its checksum is wrong.
+    /// The reason why the message is dropped: it is malformed, of another version or type, or its checksum is wrong.
     pub fn read(bytes: &[u8]) -> Result<Advertisement, &'static str> {
         let Some((head, rest)) = bytes.split_first_chunk::<8>() else { return Err("cut short") };
         if head[0] >> 4 != 3 {
@@ -49,8 +49,8 @@
         if head[0] & 0x0f != 1 {
             return Err("not an advertisement");
         }
-        let (addresses, odd) = rest.as_chunks::<4>();
-        if !odd.is_empty() || addresses.len() != usize::from(head[3]) {
+        let (addresses, remainder) = rest.as_chunks::<4>();
+        if !remainder.is_empty() || addresses.len() != usize::from(head[3]) {
             return Err("length and count differ");
         }
         if addresses.is_empty() {
@@ -68,7 +68,8 @@
     }
 }
 
-/// The Internet checksum over the message alone, as is done over IPv4; 0 over a message that holds its own.
+/// The Internet checksum of the message without a pseudo-header, as over IPv4. It is 0 for a message that contains its
+/// own checksum.
 fn checksum(bytes: &[u8]) -> u16 {
     let words = bytes.chunks(2).map(|pair| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0)));
     let mut sum: u32 = words.sum();
--- a/src/vrrp/packet/tests.rs
+++ b/src/vrrp/packet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn messages_are_read_as_written_and_odd_ones_dropped() {
+fn messages_are_decoded_as_encoded_and_malformed_ones_are_rejected() {
     let addresses = vec![Ipv4Addr::new(127, 0, 0, 100)];
     let good = Advertisement { vrid: 7, priority: 100, interval: 100, addresses };
     let bytes = good.write();
@@ -32,5 +32,5 @@
         assert_eq!(Advertisement::read(&bytes), Err(why), "{bytes:?}");
     }
     let reserved = sealed(|b| b[4] |= 0xf0);
-    assert_eq!(Advertisement::read(&reserved), Ok(good), "reserved bits are not looked at");
+    assert_eq!(Advertisement::read(&reserved), Ok(good), "reserved bits are ignored");
 }
--- a/tests/chain.rs
+++ b/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Chains over JSON-RPC: the daemon between a client on its Unix socket and stand-in workers.
+//! Chains over JSON-RPC: a daemon serves a client on its Unix socket with stand-in workers.
 
 #![allow(
     clippy::unwrap_used,
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 fn daemon(worker: &Worker) -> (Daemon, RpcClient) {
-    // Far more time than a busy machine takes: no verdict here may hang on how fast it is.
+    // Far more time than a busy machine takes, so that no result depends on its speed.
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().unwrap() {
         class["objectiveNs"] = json!(20_000_000_000u64);
@@ -45,12 +45,13 @@
     ]
 }
 
-/// A build check, the checker run, the record of credit: one request, one final answer, one deadline.
+/// One request with three steps (a build check, the checker's run, the record of credit) has one final answer and one
+/// deadline, and a retry does not run the keyed step again.
 #[test]
 fn a_chain_of_three_steps_has_one_answer() {
     let worker = Worker::over_tcp();
     let (daemon, mut client) = daemon(&worker);
-    // Each worker's answer is its body and a letter more.
+    // Each answer of a worker is the request's body with a letter appended.
     let lines = worker.serve(|heard| match heard.verb() {
         "go" => {
             let engine = &base64::engine::general_purpose::STANDARD;
@@ -65,18 +66,21 @@
     let names: Vec<_> = goes.iter().map(|l| l["attrs"]["name"].as_str().unwrap().to_owned()).collect();
     assert_eq!(names, ["00000000000000a1", "00000000000000a2", "00000000000000a3"]);
     assert_eq!(goes[2]["attrs"]["dedupe"], "k1.2");
-    assert!(goes.iter().all(|l| l["attrs"]["ttl"].as_u64().unwrap() <= 20_000), "the credit's wanted time");
-    // A repeat inside the window runs the credit step no second time.
+    assert!(
+        goes.iter().all(|l| l["attrs"]["ttl"].as_u64().unwrap() <= 20_000),
+        "the latency objective of the credit step"
+    );
+    // A retry within the deduplication window does not run the credit step again.
     client.send(&chain(2, three()).to_string());
     assert_eq!(client.next()["result"]["body"], "YXh4eA==");
-    assert_eq!(count_by_verb(&lines)["go"], 5, "two steps that may be repeated were");
+    assert_eq!(count_by_verb(&lines)["go"], 5, "the two retryable steps ran again");
     assert_eq!((daemon.counter("chains"), daemon.counter("chains_served")), (2, 2));
 }
 
-/// The time left does not cover a cold load in the middle: nothing starts, the client hears why at once, and the
-/// copy is ordered, or the chain would be cold for ever.
+/// The time left does not cover a cold start in the middle: no step starts, the client is told the reason immediately,
+/// and the instance is prewarmed, because the chain would stay cold otherwise.
 #[test]
-fn a_chain_that_cannot_be_covered_starts_nothing() {
+fn a_chain_that_the_time_left_does_not_cover_starts_no_step() {
     let worker = Worker::over_tcp();
     let (daemon, mut client) = daemon(&worker);
     let mut steps = three();
@@ -89,18 +93,18 @@
     );
     assert!(error["data"]["need_ms"].as_u64() > error["data"]["left_ms"].as_u64(), "{error}");
     assert!(error["data"]["cooldown_ms"].as_u64().unwrap() > 0);
-    let mut order = worker.next();
+    let mut load = worker.next();
     assert_eq!(
-        (order.verb(), &order.line["attrs"]["name"]),
+        (load.verb(), &load.line["attrs"]["name"]),
         ("stage", &json!("00000000000000a2")),
-        "for its next try"
+        "prewarmed for the next try"
     );
-    order.answer("200", "");
+    load.answer("200", "");
     assert_eq!((daemon.counter("chains_stopped"), daemon.counter("taken")), (1, 0));
 }
 
 #[test]
-fn a_client_that_closes_calls_its_step_off_and_a_failed_step_ends_the_chain() {
+fn a_closing_client_withdraws_its_step_and_a_failed_step_ends_the_chain() {
     let worker = Worker::over_tcp();
     let (daemon, mut client) = daemon(&worker);
     let mut other = RpcClient::connect(&daemon.folder.at("calls.sock"));
@@ -111,16 +115,16 @@
     assert_eq!((halt.verb(), halt.request_id()), ("halt", first.request_id()));
     other.send(&chain(7, three()).to_string());
     for _ in 0..3 {
-        let mut heard = worker.next();
-        assert_eq!(heard.line["attrs"]["name"], "00000000000000a1", "no later step starts");
-        heard.answer("500", "");
+        let mut attempt = worker.next();
+        assert_eq!(attempt.line["attrs"]["name"], "00000000000000a1", "no later step starts");
+        attempt.answer("500", "");
     }
     let error = other.next()["error"].clone();
     assert_eq!((&error["data"]["step"], &error["data"]["ran"]), (&json!(0), &json!(0)), "{error}");
 }
 
 #[test]
-fn odd_chains_are_told_what_is_odd_and_start_nothing() {
+fn invalid_chains_are_rejected_with_the_reason_and_start_no_step() {
     let worker = Worker::over_tcp();
     let (daemon, mut client) = daemon(&worker);
     let good = |more: Value| step("practice-check", "00000000000000a1", more);
@@ -150,13 +154,13 @@
             "steps[0]: its class needs a key",
         ),
     ];
-    for (params, word) in cases {
+    for (params, expected) in cases {
         client.send(&json!({"jsonrpc": "2.0", "id": 1, "method": "chain", "params": params}).to_string());
         let error = client.next()["error"].clone();
-        assert_eq!(error["code"], -32602, "{word}");
-        assert!(error["message"].as_str().unwrap().contains(word), "{word}: {error}");
+        assert_eq!(error["code"], -32602, "{expected}");
+        assert!(error["message"].as_str().unwrap().contains(expected), "{expected}: {error}");
     }
-    // A notification starts nothing, and a key that is open belongs to its chain.
+    // A notification starts no chain, and the key of a chain in progress cannot be used by another one.
     let mut notification = chain(1, three());
     notification.as_object_mut().unwrap().remove("id");
     client.send(&notification.to_string());
@@ -164,16 +168,16 @@
     client.send(&chain(1, three()).to_string());
     let mut first = worker.next();
     client.send(&chain(2, three()).to_string());
-    assert_eq!(client.next()["error"]["code"], -32001, "the same: come back later");
+    assert_eq!(client.next()["error"]["code"], -32001, "a retry of the open chain is refused");
     client.send(&chain(3, vec![three().remove(0)]).to_string());
-    assert_eq!(client.next()["error"]["code"], -32002, "another");
+    assert_eq!(client.next()["error"]["code"], -32002, "a different chain with the key fails");
     first.answer("404", "");
     assert_eq!(daemon.counter("panics"), 0);
 }
 
-/// SIGTERM in mid-chain: the steps still to come run, and the one answer is given before the end.
+/// SIGTERM during a chain: its remaining steps run, and it is answered before the daemon exits.
 #[test]
-fn a_chain_that_is_under_way_is_finished_at_the_end() {
+fn a_chain_in_progress_is_finished_during_shutdown() {
     let worker = Worker::over_tcp();
     let (mut daemon, mut client) = daemon(&worker);
     client.send(&chain(1, three()).to_string());
@@ -186,9 +190,9 @@
     assert!(daemon.ends());
 }
 
-/// A worker is left out between two steps, and comes back: the next step goes elsewhere, under the same deadline.
+/// The worker of the first step is cordoned before the second: the second step is sent to the other worker.
 #[test]
-fn a_step_goes_elsewhere_when_its_worker_is_left_out_in_between() {
+fn a_step_goes_to_another_worker_when_its_own_is_cordoned_between_steps() {
     let workers = [Worker::over_tcp(), Worker::over_tcp()];
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().unwrap() {
@@ -199,7 +203,7 @@
         format!("[jsonrpc]\nsocket = \"{}\"\n", folder.at("calls.sock").display())
     });
     let mut client = RpcClient::connect(&daemon.folder.at("calls.sock"));
-    // All steps call one function, whose home the first one shows.
+    // All steps call the same function. The worker that gets the first step is the function's home.
     let one = || step("practice-check", "00000000000000a1", json!({}));
     client.send(&chain(1, vec![one(), one()]).to_string());
     let (home, mut heard) = loop {
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The wire codec and the binary around it.
+//! The codec of the simulator adapter, and the adapter as a process.
 
 #![allow(
     clippy::unwrap_used,
@@ -16,7 +16,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const SETTINGS: &str = r#"{"fleetSize": 3, "index": 1, "somethingNew": [1],
+const VALID_SETTINGS: &str = r#"{"fleetSize": 3, "index": 1, "somethingNew": [1],
   "classes": [{"deadlineNs": 6000000000, "effect": "retryable", "objectiveNs": 1200000000}],
   "bounds": {"mostTries": 5},
   "contract": {"coldFrom": 0.17, "coldNs": 16000000000, "fallMultiple": 2.0, "fallNs": 1000000000},
@@ -58,17 +58,18 @@
     (output.status.code(), output.stdout, String::from_utf8(output.stderr).unwrap())
 }
 
-const ACCEPT: &str = "03 0000002f 0003 5d3a91c4 40000000 0000 00000000 0000 000000000e4e1c00 0000000000b71b00 \
+const ACCEPT_RECORD: &str = "03 0000002f 0003 5d3a91c4 40000000 0000 00000000 0000 000000000e4e1c00 0000000000b71b00 \
      01 43c00000 0000007c55d20a01";
 
 #[test]
-fn records_are_read_as_the_wire_page_writes_them() {
+fn records_are_decoded_as_documented() {
     let roster = "0c 00000034 0000 00000002 00 0000 00 0a124a07 1f43 3f800000 0000000000000000 00 \
          01 0000 00 0a9011f2 1f6c 3fc00000 000000016b969d00 00";
     let answer = "05 0000001a 0003 5d3a91c4 0000 0a124a07 1f43 00 00000000011a49a0 01 19 00";
     let sync = "02 00000009 0003 00000029 02 0000";
     let probed = "08 0000001e 0003 0000000000155cc0 04 0a9011f2 1f6c 03 3f1eb8523ecccccd3fa00000";
-    let records = [hex(roster), hex(sync), hex(ACCEPT), hex(answer), hex("63 00000001 ff"), hex(probed)];
+    let records =
+        [hex(roster), hex(sync), hex(ACCEPT_RECORD), hex(answer), hex("63 00000001 ff"), hex(probed)];
     let bytes = frame(9, &records);
     let frame = read_frame(&mut &bytes[..]).unwrap().unwrap();
     let records = read_records(&frame).unwrap();
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_wire_page_writes_them() {
+fn actions_are_encoded_as_documented() {
     let mut reply = Reply::default();
     let (worker, function) = (WorkerId(0x0a12_4a07_1f43), FunctionId(0x7c_55d2_0a01));
     let id = RequestId(0x5d3a_91c4);
@@ -112,19 +113,19 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_fault() {
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
     assert_eq!(run(&frame(5, &[])), (Some(0), vec![0; 8], String::new()));
 }
 
 #[test]
-fn a_spoilt_frame_is_told_and_gets_no_reply() {
-    let whole = frame(5, &[hex(ACCEPT)]);
-    let mut short_record = hex(ACCEPT);
+fn a_malformed_batch_is_reported_and_gets_no_reply() {
+    let whole = frame(5, &[hex(ACCEPT_RECORD)]);
+    let mut short_record = hex(ACCEPT_RECORD);
     short_record[4] = 0x20;
     short_record.truncate(5 + 0x20);
-    let mut long_record = hex(ACCEPT);
+    let mut long_record = hex(ACCEPT_RECORD);
     long_record[4] = 0x30;
-    for (bytes, told) in [
+    for (bytes, expected) in [
         (whole[..9].to_vec(), "batch header"),
         (whole[..30].to_vec(), "cut short"),
         (frame(5, &[short_record]), "ACCEPT at position 16"),
@@ -132,28 +133,28 @@
     ] {
         let (code, out, err) = run(&bytes);
         assert_eq!((code, out.len()), (Some(1), 0), "{err}");
-        assert!(err.contains(told), "{err}");
+        assert!(err.contains(expected), "{err}");
     }
 }
 
 #[test]
-fn settings_that_lack_a_rule_are_a_fault_that_names_it() {
-    assert!(settings::read(SETTINGS.as_bytes()).is_ok());
-    for lost in ["coldFrom", "fallMultiple", "mostTries", "keepNs", "loadSpanNs", "effect"] {
-        let error = settings::read(SETTINGS.replace(lost, "x").as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(lost), "{error}");
+fn settings_without_a_required_key_are_an_error_that_names_it() {
+    assert!(settings::read(VALID_SETTINGS.as_bytes()).is_ok());
+    for missing in ["coldFrom", "fallMultiple", "mostTries", "keepNs", "loadSpanNs", "effect"] {
+        let error = settings::read(VALID_SETTINGS.replace(missing, "x").as_bytes()).unwrap_err().to_string();
+        assert!(error.contains(missing), "{error}");
     }
     let (code, out, _) = run(&frame(5, &[open(2, "no json")]));
     assert_eq!((code, out[8]), (Some(0), 3));
 }
 
 #[test]
-fn an_instance_is_served_and_forgotten_when_killed() {
+fn an_instance_is_served_until_it_is_killed() {
     let roster = hex("0c 0000001d 0000 00000001 00 0000 00 0a124a07 1f43 3f800000 0000000000000000 00");
     let sync = hex("02 00000009 0003 00000029 02 0000");
-    let mut input = frame(5, &[open(3, SETTINGS), roster, sync]);
-    input.extend(frame(6, &[hex(ACCEPT)]));
-    input.extend(frame(7, &[hex("0a 00000002 0003"), hex(ACCEPT)]));
+    let mut input = frame(5, &[open(3, VALID_SETTINGS), roster, sync]);
+    input.extend(frame(6, &[hex(ACCEPT_RECORD)]));
+    input.extend(frame(7, &[hex("0a 00000002 0003"), hex(ACCEPT_RECORD)]));
     let (code, out, _) = run(&input);
     assert_eq!(code, Some(0));
     let send = hex("01 00000014 0003 5d3a91c4 000000000e4e1c00 0a124a07 1f43");
