--- a/src/chain/tests.rs
+++ b/src/chain/tests.rs
@@ -216,7 +216,7 @@
     ) {
         let (mut machine, mut now, mut stream) = (Machine::new(3), NOW, 0);
         let mut running: Vec<IncomingRequest> = vec![];
-        let mut owed: BTreeMap<Owner, (Vec<Step>, usize)> = BTreeMap::new();
+        let mut unanswered: BTreeMap<Owner, (Vec<Step>, usize)> = BTreeMap::new();
         let mut first_out: BTreeMap<String, Timestamp> = BTreeMap::new();
         for (op, pick, n) in ops {
             let mut actions = vec![];
@@ -227,7 +227,7 @@
                     let first = step("check", n % 3, n * 10, Some(b""));
                     let steps = [first, step("credit", 5, 0, None), step("credit", 6, n * 20, None)];
                     let steps = steps[..1 + pick % 3].to_vec();
-                    owed.insert(owner, (steps.clone(), 0));
+                    unanswered.insert(owner, (steps.clone(), 0));
                     let deadline = now + Duration::millis(500 + n * 100);
                     let key = Some(format!("k{}", pick / 3));
                     actions = machine.begin(now, Chain { owner, key, deadline, steps }, &Site);
@@ -242,8 +242,8 @@
                     actions = machine.step_ended(now, step.owner, answer, &Site);
                 }
                 3 => {
-                    if let Some(owner) = owed.keys().nth(pick).copied() {
-                        owed.remove(&owner);
+                    if let Some(owner) = unanswered.keys().nth(pick).copied() {
+                        unanswered.remove(&owner);
                         let withdrawn = machine.withdraw(owner);
                         prop_assert!(matches!(withdrawn[..], [Action::Withdraw(_)]));
                         for action in withdrawn {
@@ -264,7 +264,7 @@
                         let open = machine.open.values().find(|open| current_step_owner(&machine, open) == step.owner);
                         let open = open.expect("the step belongs to an open chain");
                         let (owner, at) = (open.chain.owner, open.step);
-                        let (steps, ran) = owed.get_mut(&owner).expect("the chain has not been answered");
+                        let (steps, ran) = unanswered.get_mut(&owner).expect("the chain has not been answered");
                         prop_assert!(at >= *ran, "a step started twice in a try");
                         *ran = at;
                         let need = total_time(&needs(&machine.estimates, now, &steps[at..], &Site)).0;
@@ -276,7 +276,7 @@
                         running.push(step);
                     }
                     Action::Finish(owner, end) => {
-                        let (steps, _) = owed.remove(&owner).expect("the chain ends once");
+                        let (steps, _) = unanswered.remove(&owner).expect("the chain ends once");
                         let served = matches!(end.answer.verdict, Verdict::Served(_));
                         prop_assert_eq!(served, end.ran == steps.len());
                     }
@@ -284,7 +284,7 @@
                     Action::Withdraw(_) => prop_assert!(false, "no client has left"),
                 }
             }
-            prop_assert_eq!((machine.outstanding(), running.len()), (owed.len(), owed.len()));
+            prop_assert_eq!((machine.outstanding(), running.len()), (unanswered.len(), unanswered.len()));
         }
     }
 }
--- a/src/config/distribution/tests.rs
+++ b/src/config/distribution/tests.rs
@@ -38,10 +38,11 @@
     let file = include_str!("../../../deploy/distribution.toml");
     let read = |text: &str| read_operator(text).unwrap().distribution.unwrap();
     assert_eq!(read(file).role, Role::Subscriber);
-    let whole = ["zones =", "catch_up_bytes_per_second ="];
-    let whole = whole.iter().fold(file.to_owned(), |text, key| text.replace(&format!("# {key}"), key));
+    let uncommented = ["zones =", "catch_up_bytes_per_second ="];
+    let uncommented =
+        uncommented.iter().fold(file.to_owned(), |text, key| text.replace(&format!("# {key}"), key));
     assert_eq!(
-        read(&whole).catch_up_bytes_per_second,
+        read(&uncommented).catch_up_bytes_per_second,
         read(file).catch_up_bytes_per_second,
         "the file states the default"
     );
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn the_operators_file_is_parsed_and_invalid_values_are_reported() {
-    let whole = include_str!("../../deploy/jsonrpc.toml").replace("# [", "[").replace("# id", "id");
+    let uncommented = include_str!("../../deploy/jsonrpc.toml").replace("# [", "[").replace("# id", "id");
     let commented = [
         "until",
         "socket",
@@ -19,9 +19,10 @@
         "peers",
         "address",
     ];
-    let whole =
-        commented.iter().fold(whole, |text, key| text.replace(&format!("# {key} ="), &format!("{key} =")));
-    let operator = read_operator(&whole).unwrap();
+    let uncommented = commented
+        .iter()
+        .fold(uncommented, |text, key| text.replace(&format!("# {key} ="), &format!("{key} =")));
+    let operator = read_operator(&uncommented).unwrap();
     assert_eq!(operator.jsonrpc.unwrap().mode, 0o660);
     assert_eq!((operator.checkers.len(), operator.vrrp.unwrap().vrid), (1, 7));
     assert_eq!(operator.chains.until, Until::Wanted);
--- a/src/ops/http/tests.rs
+++ b/src/ops/http/tests.rs
@@ -54,10 +54,10 @@
         let text = String::from_utf8_lossy(&bytes[..bytes.len().min(60)]).into_owned();
         assert_eq!(read(&bytes).map_err(|error| error.0), Err(status), "{text}");
     }
-    let whole = post("Content-Length: 0\r\n\r\n");
-    assert_eq!(read(&whole), Ok(Some(OperatorRequest::Exclude(WORKER))));
-    for cut in 0..whole.len() {
-        assert_eq!(read(&whole[..cut]), Ok(None), "{cut}");
+    let complete = post("Content-Length: 0\r\n\r\n");
+    assert_eq!(read(&complete), Ok(Some(OperatorRequest::Exclude(WORKER))));
+    for cut in 0..complete.len() {
+        assert_eq!(read(&complete[..cut]), Ok(None), "{cut}");
     }
 }
 
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -119,15 +119,15 @@
 
 #[test]
 fn a_malformed_batch_is_reported_and_gets_no_reply() {
-    let whole = frame(5, &[hex(ACCEPT_RECORD)]);
+    let complete = frame(5, &[hex(ACCEPT_RECORD)]);
     let mut short_record = hex(ACCEPT_RECORD);
     short_record[4] = 0x20;
     short_record.truncate(5 + 0x20);
     let mut long_record = hex(ACCEPT_RECORD);
     long_record[4] = 0x30;
     for (bytes, expected) in [
-        (whole[..9].to_vec(), "batch header"),
-        (whole[..30].to_vec(), "cut short"),
+        (complete[..9].to_vec(), "batch header"),
+        (complete[..30].to_vec(), "cut short"),
         (frame(5, &[short_record]), "ACCEPT at position 16"),
         (frame(5, &[long_record]), "ACCEPT at position 16"),
     ] {
