--- a/lab/src/capacity/estimate.rs
+++ b/lab/src/capacity/estimate.rs
@@ -14,7 +14,8 @@
     Interpolated,
     /// Extrapolated past the measured sizes, by a line or a power law.
     Extrapolated,
-    /// The maximum over all sizes that were run, or the average of a measure without an axis, regardless of the target size.
+    /// The maximum over all sizes that were run, or the average of a measure without an axis, regardless of the target
+    /// size.
     AllSizes,
     /// No run measures it.
     Missing,
--- a/lab/src/capacity/model.rs
+++ b/lab/src/capacity/model.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// The maximum of a measured quantity over all sizes that were run, for quantities that neither grow with the fleet nor
-    /// follow a line.
+    /// The maximum of a measured quantity over all sizes that were run, for quantities that neither grow with the fleet
+    /// nor follow a line.
     pub fn maximum(&self, name: &str) -> Estimate {
         let maximum =
             |(_, fit): &(&Measure, Fit)| fit.points.iter().map(|(_, y)| *y).fold(f64::MIN, f64::max);
--- a/lab/src/capacity/played.rs
+++ b/lab/src/capacity/played.rs
@@ -27,8 +27,8 @@
         || OTHER_MEASURES.iter().any(|(other, ..)| *other == name)
 }
 
-/// A measure's values at all sizes, and its reading at the target number of schedulers if its axis is that number; `None`
-/// if there is no run.
+/// A measure's values at all sizes, and its reading at the target number of schedulers if that is its axis; `None` if there
+/// is no run.
 fn values_by_size(model: &Model, name: &str, unit: &str) -> Option<String> {
     let (measure, fit) = model.measure_and_fit(name)?;
     let value_text = |(x, y): &(f64, f64)| match measure.along {
--- a/lab/src/capacity/questions.rs
+++ b/lab/src/capacity/questions.rs
@@ -59,8 +59,8 @@
         .text()
 }
 
-/// Upper bound of cold starts per second: every function is rare and is called at the worst rate for its idle copy. With a
-/// keep-alive of K seconds, a call of a function that is called r times per second is cold with probability e^-rK, which
+/// Upper bound of cold starts per second: every function is rare and is called at the worst rate for its idle copy. With
+/// a keep-alive of K seconds, a call of a function that is called r times per second is cold with probability e^-rK, which
 /// is r e^-rK cold starts per second, at most 1/eK.
 pub fn max_cold_starts_per_second(model: &Model) -> f64 {
     model.target("functions") / (std::f64::consts::E * model.assumed("keep_alive_seconds"))
@@ -265,8 +265,8 @@
         .find(|lanes| probability_later_than(limit, rate, fetch, *lanes) <= late_share)
 }
 
-/// Cold starts in the first second after a part of the fleet is lost. A function whose only copy was there is cold at its
-/// next call: popular functions are called at once, rare ones, with at most one call per minute, within a minute.
+/// Cold starts in the first second after a part of the fleet is lost. A function whose only copy was there is cold at
+/// its next call: popular functions are called at once, rare ones, with at most one call per minute, within a minute.
 pub fn cold_starts_after_loss(model: &Model, part: f64) -> f64 {
     let rare = model.assumed("part_rare");
     part * model.target("functions") * (1.0 - rare + rare / 60.0)
--- a/lab/src/capacity/roles.rs
+++ b/lab/src/capacity/roles.rs
@@ -86,7 +86,7 @@
     value: Estimate,
     unit: &'a str,
     budget: f64,
-    by: &'a str,
+    mechanism: &'a str,
 }
 
 fn render(figures: Vec<RoleFigure>) -> String {
@@ -107,7 +107,7 @@
             budget,
             holds,
             figure.value.basis.name().to_owned(),
-            figure.by.to_owned(),
+            figure.mechanism.to_owned(),
         ]);
     }
     grid.text()
@@ -162,43 +162,67 @@
     let bytes = model.byte_budget();
     let functions = model.measured("function_bytes", workers) * model.functions_in_window() / 1e6;
     let mut figures = vec![];
-    let mut push = |by, what, value: Estimate, unit, budget| {
-        figures.push(RoleFigure { role: "scheduler", what, value, unit, budget, by });
+    let mut push = |mechanism, what, value: Estimate, unit, budget| {
+        figures.push(RoleFigure { role: "scheduler", what, value, unit, budget, mechanism });
     };
-    let by = "distribution";
-    push(by, "state: list of its region and settings, on the wire", state_bytes(model).into(), "B", f64::NAN);
-    push(by, "bytes a second, two domains", scheduler_bytes(model), "B/s", bytes);
-    push(by, "messages a second of one domain", model.measured("messages", all), "1/s", f64::NAN);
+    let mechanism = "distribution";
     push(
-        by,
+        mechanism,
+        "state: list of its region and settings, on the wire",
+        state_bytes(model).into(),
+        "B",
+        f64::NAN,
+    );
+    push(mechanism, "bytes a second, two domains", scheduler_bytes(model), "B/s", bytes);
+    push(mechanism, "messages a second of one domain", model.measured("messages", all), "1/s", f64::NAN);
+    push(
+        mechanism,
         "processor, mean rate of changes, list of the fleet",
         model.measured("cpu_changes", workers),
         "%",
         cpu,
     );
     push(
-        by,
+        mechanism,
         "longest standstill, list of the fleet",
         model.measured("still_ms", workers),
         "ms",
         model.target("still_ms"),
     );
-    let by = "list by regions";
-    push(by, "processor, no calls, list of its region", model.measured("cpu", region), "%", cpu);
-    push(by, "processor, no calls, list of the fleet", model.measured("cpu", workers), "%", cpu);
-    push(by, "memory, list of its region", model.measured("memory_mb", region), "MB", memory);
-    push(by, "memory, list of the fleet", model.measured("memory_mb", workers), "MB", memory);
-    push(by, "start until it serves, list of the fleet", model.measured("start", workers), "s", f64::NAN);
-    let by = "module's order by function";
-    push(by, "memory of functions in the window, beside it", functions, "MB", memory);
+    let mechanism = "list by regions";
+    push(mechanism, "processor, no calls, list of its region", model.measured("cpu", region), "%", cpu);
+    push(mechanism, "processor, no calls, list of the fleet", model.measured("cpu", workers), "%", cpu);
+    push(mechanism, "memory, list of its region", model.measured("memory_mb", region), "MB", memory);
+    push(mechanism, "memory, list of the fleet", model.measured("memory_mb", workers), "MB", memory);
+    push(
+        mechanism,
+        "start until it serves, list of the fleet",
+        model.measured("start", workers),
+        "s",
+        f64::NAN,
+    );
+    let mechanism = "module's order by function";
+    push(mechanism, "memory of functions in the window, beside it", functions, "MB", memory);
     let first = model.target("first_call_ms");
-    push(by, "first call of a function", model.measured("first_call_ms", workers), "ms", first);
-    let by = "fleet of members by regions";
-    push(by, "bytes a second of membership, leases, gossip", model.maximum("members_bytes"), "B/s", bytes);
-    push(by, "the same of real processes", model.maximum("members_real_bytes"), "B/s", bytes);
-    push(by, "the same at most, every datagram of gossip full", max_gossip_bytes(model).into(), "B/s", bytes);
-    push(by, "processor of membership, leases, gossip", model.maximum("members_cpu"), "%", cpu);
-    push(by, "memory of membership", model.maximum("members_memory_mb"), "MB", memory);
+    push(mechanism, "first call of a function", model.measured("first_call_ms", workers), "ms", first);
+    let mechanism = "fleet of members by regions";
+    push(
+        mechanism,
+        "bytes a second of membership, leases, gossip",
+        model.maximum("members_bytes"),
+        "B/s",
+        bytes,
+    );
+    push(mechanism, "the same of real processes", model.maximum("members_real_bytes"), "B/s", bytes);
+    push(
+        mechanism,
+        "the same at most, every datagram of gossip full",
+        max_gossip_bytes(model).into(),
+        "B/s",
+        bytes,
+    );
+    push(mechanism, "processor of membership, leases, gossip", model.maximum("members_cpu"), "%", cpu);
+    push(mechanism, "memory of membership", model.maximum("members_memory_mb"), "MB", memory);
     push(
         "none yet",
         "who holds the overload controller: bytes a second",
@@ -225,7 +249,7 @@
         ("memory, list of the fleet", "relay_memory_mb", model.workers(), "MB", memory),
     ] {
         let value = model.measured(name, at);
-        figures.push(RoleFigure { role: serves, what, value, unit, budget, by: "distribution" });
+        figures.push(RoleFigure { role: serves, what, value, unit, budget, mechanism: "distribution" });
     }
     for (what, name, unit, budget) in
         [("bytes a second", "replica_bytes", "B/s", bandwidth), ("processor", "replica_cpu", "%", cpu_budget)]
@@ -237,7 +261,7 @@
             value,
             unit,
             budget,
-            by: "distribution",
+            mechanism: "distribution",
         });
     }
     for (what, name, unit, budget) in [
@@ -252,7 +276,7 @@
             value,
             unit,
             budget,
-            by: "fleet of members by regions",
+            mechanism: "fleet of members by regions",
         });
     }
     // A machine that is alone in its region serves all of the region's schedulers in both domains, and is an elector.
@@ -261,7 +285,7 @@
         ("processor of all, alone", "relay_cpu", "elector_cpu", "%", cpu_budget),
     ] {
         let value = model.measured(name, alone) * 2.0 + model.maximum(elector);
-        figures.push(RoleFigure { role: "control machine", what, value, unit, budget, by: "all" });
+        figures.push(RoleFigure { role: "control machine", what, value, unit, budget, mechanism: "all" });
     }
     let workers = model.workers();
     let functions = model.measured("function_bytes", workers) * model.functions_in_window() / 1e6;
@@ -283,7 +307,7 @@
             value,
             unit,
             budget,
-            by: "module's order by function",
+            mechanism: "module's order by function",
         });
     }
     render(figures)
--- a/lab/src/chains.rs
+++ b/lab/src/chains.rs
@@ -20,10 +20,14 @@
 const MEAN_WORK_MS: [f64; 3] = [120.0, 250.0, 80.0];
 const STEP_CLASSES: [&str; 3] = ["practice-check", "practice-check", "credit-submit"];
 
+/// How the client submits the steps of a chain.
 #[derive(Clone, Copy, PartialEq)]
 enum Submission {
+    /// As one chain.
     Chain,
+    /// As separate requests, one after another.
     Separate,
+    /// As one chain whose steps declare no load time.
     ChainWithoutLoadTimes,
 }
 
