--- a/lab/shim/src/lib.rs
+++ b/lab/shim/src/lib.rs
@@ -242,13 +242,13 @@
     unsafe {
         let mut none = libc::iovec { iov_base: std::ptr::null_mut(), iov_len: 0 };
         let part = if (*message).msg_iovlen == 0 { &raw mut none } else { (*message).msg_iov };
-        let whole = (*part).iov_len;
-        match allowed_bytes(Call::Read, socket, whole) {
+        let full_length = (*part).iov_len;
+        match allowed_bytes(Call::Read, socket, full_length) {
             Err(errno) => set_errno(errno) as ssize_t,
             Ok(count) => {
                 (*part).iov_len = count;
                 let received = libc::syscall(libc::SYS_recvmsg, socket, message, flags) as ssize_t;
-                (*part).iov_len = whole;
+                (*part).iov_len = full_length;
                 if received >= 0 {
                     step_receive_times(&*message);
                 }
--- a/lab/src/rig/environment.rs
+++ b/lab/src/rig/environment.rs
@@ -221,9 +221,9 @@
 /// Loopback addresses that no concurrent run of the rig on this machine uses.
 fn unique_loopback_addresses(count: usize) -> Vec<SocketAddr> {
     static NEXT_RUN: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
-    let play = NEXT_RUN.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 64;
+    let run = NEXT_RUN.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 64;
     let process = std::process::id() % (1 << 16);
-    let ip = IpAddr::V4(Ipv4Addr::from(127 << 24 | (64 + play) << 16 | process));
+    let ip = IpAddr::V4(Ipv4Addr::from(127 << 24 | (64 + run) << 16 | process));
     (0..count).map(|n| SocketAddr::new(ip, 9_200 + n as u16)).collect()
 }
 
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -201,11 +201,11 @@
 
 /// One line per seed: faults that began and took effect, calls by outcome, violated rules.
 fn seed_line(report: &Report) -> String {
-    let came: u64 = report.effects.values().map(|[came, _]| came).sum();
-    let took: u64 = report.effects.values().map(|[_, took]| took).sum();
+    let began: u64 = report.effects.values().map(|[began, _]| began).sum();
+    let took_effect: u64 = report.effects.values().map(|[_, took_effect]| took_effect).sum();
     let sum = |of: fn(&crate::rig::report::Counts) -> u64| report.classes.values().map(of).sum::<u64>();
     format!(
-        "seed {}: {came} faults ({took} observed to take effect); calls {} = served {} + refused {} + failed {} + gone {} + lost {}; killed after SIGTERM {}; broken {}",
+        "seed {}: {began} faults ({took_effect} observed to take effect); calls {} = served {} + refused {} + failed {} + gone {} + lost {}; killed after SIGTERM {}; broken {}",
         report.seed,
         sum(|counts| counts.calls),
         sum(|counts| counts.served),
@@ -224,9 +224,9 @@
         if !report.broken.is_empty() {
             self.failed.push(seed);
         }
-        for (kind, [came, took]) in &report.effects {
+        for (kind, [began, took_effect]) in &report.effects {
             let effect = self.effects.entry(kind.clone()).or_default();
-            (effect[0], effect[1]) = (effect[0] + came, effect[1] + took);
+            (effect[0], effect[1]) = (effect[0] + began, effect[1] + took_effect);
         }
         for broken in &report.broken {
             *self.broken.entry(broken.rule).or_default() += 1;
@@ -234,10 +234,14 @@
     }
 
     fn text(&self, kinds: &[FaultKind]) -> String {
-        let effects: Vec<String> =
-            self.effects.iter().map(|(kind, [came, took])| format!("{kind} {came}/{took}")).collect();
-        let had_no_effect =
-            |what: &&FaultKind| self.effects.get(&format!("{what:?}")).is_none_or(|[_, took]| *took == 0);
+        let effects: Vec<String> = self
+            .effects
+            .iter()
+            .map(|(kind, [began, took_effect])| format!("{kind} {began}/{took_effect}"))
+            .collect();
+        let had_no_effect = |what: &&FaultKind| {
+            self.effects.get(&format!("{what:?}")).is_none_or(|[_, took_effect]| *took_effect == 0)
+        };
         let without_effect: Vec<String> =
             kinds.iter().filter(had_no_effect).map(|what| format!("{what:?}")).collect();
         let broken: Vec<String> =
